--- a/src/main/java/beamspread/chaos/NodesScene.java
+++ b/src/main/java/beamspread/chaos/NodesScene.java
@@ -380,7 +380,7 @@
       if (next == null) {
         return;
       }
-      if (next.alive() && ready()) {
+      if (next.alive() && isReady()) {
         current.signal("TERM");
         former.add(current);
         current = next;
@@ -393,7 +393,7 @@
       next = null;
     }
 
-    private boolean ready() {
+    private boolean isReady() {
       try (Socket socket = new Socket(at.getAddress(), nextMgmt)) {
         socket.setSoTimeout(1000);
         socket
--- a/src/main/java/beamspread/lab/Decider.java
+++ b/src/main/java/beamspread/lab/Decider.java
@@ -12,13 +12,13 @@
  * is compared with. This is the seam for other versions of the module.
  */
 interface Decider {
-  void membership(double now, MembershipUpdate update);
+  void onMembershipUpdate(double now, MembershipUpdate update);
 
-  void request(double now, Request request);
+  void onRequest(double now, Request request);
 
-  void outcome(double now, Outcome outcome);
+  void onOutcome(double now, Outcome outcome);
 
-  void timer(double now, long token);
+  void onTimer(double now, long token);
 
   /** The decider of this policy. */
   static Decider of(Fleet.Policy policy, Settings settings, long seed, Actions actions) {
@@ -30,23 +30,23 @@
   private static Decider real(Balancer balancer) {
     return new Decider() {
       @Override
-      public void membership(double now, MembershipUpdate update) {
-        balancer.membership(now, update);
+      public void onMembershipUpdate(double now, MembershipUpdate update) {
+        balancer.onMembershipUpdate(now, update);
       }
 
       @Override
-      public void request(double now, Request request) {
-        balancer.request(now, request);
+      public void onRequest(double now, Request request) {
+        balancer.onRequest(now, request);
       }
 
       @Override
-      public void outcome(double now, Outcome outcome) {
-        balancer.outcome(now, outcome);
+      public void onOutcome(double now, Outcome outcome) {
+        balancer.onOutcome(now, outcome);
       }
 
       @Override
-      public void timer(double now, long token) {
-        balancer.timer(now, token);
+      public void onTimer(double now, long token) {
+        balancer.onTimer(now, token);
       }
     };
   }
--- a/src/main/java/beamspread/lab/Emulator.java
+++ b/src/main/java/beamspread/lab/Emulator.java
@@ -119,7 +119,7 @@
             byId,
             seed * 1000 + start,
             streams.of("pool" + start));
-    node.list(new MembershipUpdate(MembershipUpdate.Kind.REMEMBERED, version, list));
+    node.list(new MembershipUpdate(MembershipUpdate.Kind.CACHED, version, list));
     node.list(new MembershipUpdate(MembershipUpdate.Kind.FULL, version, list));
     all.add(node);
     return node;
--- a/src/main/java/beamspread/lab/Experiment.java
+++ b/src/main/java/beamspread/lab/Experiment.java
@@ -44,7 +44,7 @@
                   service("write", 0.25, 1.5, Settings.Effect.UNSAFE))),
           new Fleet.Network(0.0002, 0.002, 0.5),
           new Fleet.Pool(6, 0, 32, 0),
-          Settings.Spread.USUAL,
+          Settings.Spread.DEFAULT,
           Fleet.Policy.OWN,
           List.of());
 
--- a/src/main/java/beamspread/lab/NodeModel.java
+++ b/src/main/java/beamspread/lab/NodeModel.java
@@ -91,7 +91,7 @@
     }
 
     /** The handshake's work is done. */
-    void ready() {
+    void isReady() {
       ready = true;
       untilReady.forEach(Runnable::run);
       untilReady.clear();
@@ -111,7 +111,7 @@
       Asked asked = one.request.asked;
       box.take(
           asked.key,
-          settings.number(),
+          settings.instanceNumber(),
           asked.write,
           asked.work,
           (result, note) -> {
@@ -229,7 +229,7 @@
           false,
           old ? Long.MIN_VALUE : (long) ((entry.startedAt() - EPOCH_SECONDS) * 1e9));
     }
-    tell(() -> decider.membership(now(), update));
+    tell(() -> decider.onMembershipUpdate(now(), update));
   }
 
   /** A client asks. */
@@ -252,7 +252,7 @@
             0,
             repeat,
             asked.write);
-    tell(() -> decider.request(now(), told));
+    tell(() -> decider.onRequest(now(), told));
   }
 
   /** Ten times a second. */
@@ -338,7 +338,7 @@
     tell(
         () -> {
           request.out--;
-          decider.outcome(
+          decider.onOutcome(
               now(),
               new Outcome(
                   request.id, one.number, one.server, result, elapsed, request.ended, note, null));
@@ -399,7 +399,7 @@
           String.format(
               Locale.ROOT,
               "node %d, told at %.3f s, sent try %d of %s to box %d at %.3f s",
-              settings.number(),
+              settings.instanceNumber(),
               told / 1e9,
               one.number + 1,
               request.asked.story(),
@@ -437,8 +437,8 @@
   }
 
   @Override
-  public void wake(long token, double delay) {
-    time.in((long) (delay * 1e9), () -> tell(() -> decider.timer(now(), token)));
+  public void setTimer(long token, double delay) {
+    time.in((long) (delay * 1e9), () -> tell(() -> decider.onTimer(now(), token)));
   }
 
   @Override
@@ -460,7 +460,7 @@
   }
 
   private void reach(Link link) {
-    boolean taken = link.box.connect(link, settings.number(), link::ready);
+    boolean taken = link.box.connect(link, settings.instanceNumber(), link::isReady);
     time.in(
         way(link.box),
         () -> {
--- a/src/main/java/beamspread/lab/PlainDecider.java
+++ b/src/main/java/beamspread/lab/PlainDecider.java
@@ -55,7 +55,7 @@
   }
 
   @Override
-  public void membership(double now, MembershipUpdate update) {
+  public void onMembershipUpdate(double now, MembershipUpdate update) {
     if (update.kind() == MembershipUpdate.Kind.FULL) {
       servers.clear();
     }
@@ -81,7 +81,7 @@
   }
 
   @Override
-  public void request(double now, Request request) {
+  public void onRequest(double now, Request request) {
     Open one = new Open(request);
     open.put(request.id(), one);
     send(one);
@@ -130,18 +130,18 @@
   private int cap(ServerEntry server) {
     double mean = (allInFlight + 1) * server.weight() / totalWeight;
     return (int)
-        Math.max(settings.floorPart(), Math.ceil((1 + settings.spread().epsilon()) * mean));
+        Math.max(settings.capFloorPart(), Math.ceil((1 + settings.spread().epsilon()) * mean));
   }
 
   @Override
-  public void outcome(double now, Outcome outcome) {
+  public void onOutcome(double now, Outcome outcome) {
     inFlight.merge(outcome.server(), -1, Integer::sum);
     allInFlight--;
     Open one = open.get(outcome.requestId());
     if (one == null) {
       return;
     }
-    boolean answered = outcome.ended() || outcome.result() == Outcome.Result.OK;
+    boolean answered = outcome.requestEnded() || outcome.result() == Outcome.Result.OK;
     boolean harmless =
         outcome.result().provesNotRun()
             || effects.get(one.request.serviceClass()) == Settings.Effect.SAFE;
@@ -162,7 +162,7 @@
   }
 
   @Override
-  public void timer(double now, long token) {
+  public void onTimer(double now, long token) {
     // It has asked for none.
   }
 }
--- a/src/main/java/beamspread/maintenance/Detachments.java
+++ b/src/main/java/beamspread/maintenance/Detachments.java
@@ -49,7 +49,7 @@
   public MembershipUpdate overlay(MembershipUpdate update) {
     boolean whole =
         update.kind() == MembershipUpdate.Kind.FULL
-            || update.kind() == MembershipUpdate.Kind.REMEMBERED;
+            || update.kind() == MembershipUpdate.Kind.CACHED;
     if (whole) {
       listed.clear();
     }
--- a/src/main/java/beamspread/maintenance/Tally.java
+++ b/src/main/java/beamspread/maintenance/Tally.java
@@ -89,14 +89,14 @@
   /** An attempt has ended. */
   public void ended(Outcome outcome, boolean write) {
     ends.merge(outcome.result(), 1, Integer::sum);
-    long millis = Math.round(outcome.elapsed() * 1e3);
+    long millis = Math.round(outcome.elapsedSeconds() * 1e3);
     if (outcome.result() == Outcome.Result.OK) {
       if (write) {
         add(Count.WRITE_MS, millis);
       } else if (outcome.note() == Outcome.Note.HIT) {
         add(Count.HITS, 1);
         add(Count.HIT_MS, millis);
-      } else if (outcome.note().missed()) {
+      } else if (outcome.note().isMiss()) {
         add(Count.MISSES, 1);
         add(Count.MISS_MS, millis);
       }
--- a/src/main/java/beamspread/model/Hashes.java
+++ b/src/main/java/beamspread/model/Hashes.java
@@ -1,28 +1,28 @@
 package beamspread.model;
 
-/** Hashes of keys and ids: the same at every node and in every version, since homes go by them. */
+/** Hashes of keys and ids. All nodes and versions must agree, since they decide slot owners. */
 public final class Hashes {
   private Hashes() {}
 
-  /** A 64-bit hash of a text: FNV-1a, then mixed. */
+  /** Returns a 64-bit hash of a text: FNV-1a, then {@link #mix}. */
   public static long of(String text) {
-    long h = 0xCBF29CE484222325L;
+    long hash = 0xCBF29CE484222325L;
     for (int i = 0; i < text.length(); i++) {
-      h = (h ^ text.charAt(i)) * 0x100000001B3L;
+      hash = (hash ^ text.charAt(i)) * 0x100000001B3L;
     }
-    return mix(h);
+    return mix(hash);
   }
 
-  /** The finalizer of SplitMix64. */
-  public static long mix(long z) {
-    z += 0x9E3779B97F4A7C15L;
-    z = (z ^ (z >>> 30)) * 0xBF58476D1CE4E5B9L;
-    z = (z ^ (z >>> 27)) * 0x94D049BB133111EBL;
-    return z ^ (z >>> 31);
+  /** Returns the next output of SplitMix64 for this state: its increment and finalizer. */
+  public static long mix(long state) {
+    state += 0x9E3779B97F4A7C15L;
+    state = (state ^ (state >>> 30)) * 0xBF58476D1CE4E5B9L;
+    state = (state ^ (state >>> 27)) * 0x94D049BB133111EBL;
+    return state ^ (state >>> 31);
   }
 
-  /** A hash as a number in [0, 1). */
-  public static double fraction(long hash) {
+  /** Maps a hash to a number in [0, 1). */
+  public static double toUnitInterval(long hash) {
     return (mix(hash) >>> 11) * 0x1.0p-53;
   }
 }
--- a/src/main/java/beamspread/model/ListEvidence.java
+++ b/src/main/java/beamspread/model/ListEvidence.java
@@ -1,15 +1,15 @@
 package beamspread.model;
 
-/** What is known of the service that has the list of servers, and of the list with it. */
+/** Evidence about discovery, from which the freshness of the list of servers follows. */
 public enum ListEvidence {
-  /** This process begins with a list that it was given. */
+  /** This process starts with a list that it was given. */
   STARTED,
-  /** The service has told all that there was to tell. */
+  /** Discovery has delivered all changes up to now. */
   CONFIRMED,
-  /** The service could be reached and gave no list that can be used. */
+  /** Discovery was reachable but gave no usable list. */
   REACHED,
-  /** The service could not be reached. */
+  /** Discovery was not reachable. */
   UNREACHABLE,
-  /** The service is asked at another address from now on. */
+  /** Discovery is called at another address from now on. */
   MOVED
 }
--- a/src/main/java/beamspread/model/MembershipUpdate.java
+++ b/src/main/java/beamspread/model/MembershipUpdate.java
@@ -5,46 +5,46 @@
 import java.util.stream.Collectors;
 
 /**
- * News of the list of servers.
+ * An update of the list of servers.
  *
- * @param kind what the entries mean
+ * @param kind whether the entries are a full list, changes, or absent after a failed call
  * @param version the list's version
- * @param entries the lines that came with it
+ * @param entries the entries of the update
  */
 public record MembershipUpdate(Kind kind, long version, List<ServerEntry> entries) {
 
-  /** The servers that the entries are about. */
-  public Set<Long> ids() {
+  /** Returns the ids of the servers in the entries. */
+  public Set<Long> serverIds() {
     return entries.stream().map(ServerEntry::id).collect(Collectors.toSet());
   }
 
-  /** What an update holds. */
+  /** The kind of an update. */
   public enum Kind {
-    /** The entries that changed. */
+    /** Only the entries that changed. */
     CHANGES,
-    /** The whole list. */
+    /** The full list. */
     FULL,
-    /** The whole list as it was last known, perhaps old. */
-    REMEMBERED,
-    /** Lines that operators have changed by hand; nothing came from the list's service. */
-    BY_HAND,
-    /** A call for the list failed, or the subscription broke. */
+    /** The full list as last known; it may be out of date. */
+    CACHED,
+    /** Entries that operators have changed; they don't come from discovery. */
+    OPERATOR,
+    /** A call for the list has failed, or the subscription was lost. */
     FAILED,
-    /** The list's service answered a call for it that it has too much to do. */
+    /** Discovery has answered a call with the statement that it is overloaded. */
     OVERLOADED;
 
-    /** Whether what is not among the entries has gone. */
-    public boolean whole() {
-      return this == FULL || this == REMEMBERED;
+    /** Returns whether the entries are the full list, so that other servers have left. */
+    public boolean isFullList() {
+      return this == FULL || this == CACHED;
     }
 
-    /** Whether a call for the list has failed, so that there is nothing new of it. */
-    public boolean failed() {
+    /** Returns whether the call failed, so that the update has no entries. */
+    public boolean isFailure() {
       return this == FAILED || this == OVERLOADED;
     }
 
-    /** Whether the list's service has answered just now. */
-    public boolean answers() {
+    /** Returns whether the update is an answer of discovery. */
+    public boolean isAnswer() {
       return this == CHANGES || this == FULL;
     }
   }
--- a/src/main/java/beamspread/model/Outcome.java
+++ b/src/main/java/beamspread/model/Outcome.java
@@ -1,35 +1,35 @@
 package beamspread.model;
 
 /**
- * How one attempt ended.
+ * The end of one attempt.
  *
- * @param requestId the request it belonged to
+ * @param requestId the id of its request
  * @param attempt its number, counted from 0 in the order of sending
- * @param server where it was sent
+ * @param server the id of the server that it was sent to
  * @param result how it ended
- * @param elapsed seconds since it was sent
- * @param ended whether the request is over
- * @param note what the server says about its cache
- * @param load the server's load report, null if none came along
+ * @param elapsedSeconds seconds since it was sent
+ * @param requestEnded whether the request has ended with it
+ * @param note the cache status that the server reported
+ * @param load the server's load report; null if there is none
  */
 public record Outcome(
     String requestId,
     int attempt,
     long server,
     Result result,
-    double elapsed,
-    boolean ended,
+    double elapsedSeconds,
+    boolean requestEnded,
     Note note,
     LoadReport load) {
 
-  /** Whether the server itself is to blame; an error that names a miss is the origin's. */
+  /** Returns whether the server is at fault; an error that reports a miss is the origin's. */
   public boolean blamesServer() {
     return result == Result.TIMEOUT
         || result == Result.FULL
         || (result == Result.ERROR && note == Note.NONE);
   }
 
-  /** How an attempt, or a probe, can end. */
+  /** Results of an attempt or a probe. */
   public enum Result {
     OK(false, true),
     ERROR(false, true),
@@ -38,7 +38,7 @@
     CONNECT_FAILED(true, false),
     RESET(false, false),
     CANCELLED(false, false),
-    /** It answered with what cannot be read, or with another request's answer. */
+    /** The answer was malformed or belonged to another request. */
     SPOILT(false, true),
     MOOT(true, false),
     NOT_STORED(true, true);
@@ -51,31 +51,31 @@
       this.fromServer = fromServer;
     }
 
-    /** Whether the server itself answered so. */
-    public boolean fromServer() {
+    /** Returns whether the server itself gave this result. */
+    public boolean isFromServer() {
       return fromServer;
     }
 
-    /** Whether there was no server at the other end. */
-    public boolean unreachable() {
+    /** Returns whether the connection failed, so that the server may be down. */
+    public boolean connectionLost() {
       return this == CONNECT_FAILED || this == RESET;
     }
 
-    /** Whether this ending proves that the attempt was never carried out. */
+    /** Returns whether this result proves that the attempt did not run. */
     public boolean provesNotRun() {
       return provesNotRun;
     }
   }
 
-  /** What a server says about its cache. */
+  /** Cache status that a server reports with an answer. */
   public enum Note {
     NONE,
     HIT,
     MISS,
     MISS_PENDING;
 
-    /** Whether the cache had to ask the origin. */
-    public boolean missed() {
+    /** Returns whether the cache had to fetch from the origin. */
+    public boolean isMiss() {
       return this == MISS || this == MISS_PENDING;
     }
   }
--- a/src/main/java/beamspread/model/Request.java
+++ b/src/main/java/beamspread/model/Request.java
@@ -3,13 +3,13 @@
 /**
  * A client's request as it arrives.
  *
- * @param id its id, never used twice
- * @param key what it is about; null where it names nothing
+ * @param id its unique id
+ * @param key the requested key; null if it has none
  * @param serviceClass the name of its class
- * @param tenant whose it is; null where there are no tenants
- * @param budget seconds until the client gives this try up
- * @param work the work expected of it in seconds of a standard core, 0 if unknown
- * @param size the value's size in bytes, 0 if unknown
+ * @param tenant its tenant; null if there are no tenants
+ * @param budget seconds until the client stops waiting for this attempt
+ * @param work its expected work in seconds of a standard core; 0 if unknown
+ * @param size the value's size in bytes; 0 if unknown
  * @param repeat whether the client marked it as a repeat
  * @param write whether it changes the value
  */
@@ -24,13 +24,13 @@
     boolean repeat,
     boolean write) {
 
-  /** The same about another key. */
-  public Request about(String other) {
-    return new Request(id, other, serviceClass, tenant, budget, work, size, repeat, write);
+  /** Returns a copy with another key. */
+  public Request withKey(String newKey) {
+    return new Request(id, newKey, serviceClass, tenant, budget, work, size, repeat, write);
   }
 
-  /** The same with so many seconds until it is given up. */
-  public Request within(double seconds) {
+  /** Returns a copy with another budget, in seconds. */
+  public Request withBudget(double seconds) {
     return new Request(id, key, serviceClass, tenant, seconds, work, size, repeat, write);
   }
 }
--- a/src/main/java/beamspread/model/Settings.java
+++ b/src/main/java/beamspread/model/Settings.java
@@ -3,32 +3,32 @@
 import java.util.List;
 
 /**
- * What an instance is told when it starts.
+ * The settings with which an instance starts.
  *
  * @param zone the instance's own zone
  * @param zones all zones
  * @param kinds the machine kinds
- * @param number the instance's number
- * @param instances how many instances the tier has
- * @param asksForList whether the list comes only when asked for
+ * @param instanceNumber the instance's number
+ * @param instances number of instances in the tier
+ * @param callsForList whether the instance must call for the list; otherwise it is pushed
  * @param weights what the weights in the list mean
- * @param cache how the caches work
- * @param limits what the deployment permits
+ * @param cache how caches and origin work together
+ * @param limits the limits and permissions of the deployment
  * @param contract the figures of the four rules
- * @param prices what comes off the result
+ * @param prices deductions from the result
  * @param services the request classes
- * @param tenants the tenants, empty where there are none
- * @param overShareWorth worth of a request past its tenant's share, as a part of its class's worth
- * @param tick the shortest time between two batches of events, in seconds
- * @param spread how keys are spread over servers
+ * @param tenants the tenants; empty if there are none
+ * @param overShareWorth worth of a request above its tenant's share, as a part of its class's worth
+ * @param tickSeconds the shortest time between two batches of events, in seconds
+ * @param spread how keys are distributed over servers
  */
 public record Settings(
     String zone,
     List<String> zones,
     List<String> kinds,
-    int number,
+    int instanceNumber,
     int instances,
-    boolean asksForList,
+    boolean callsForList,
     Weights weights,
     CacheMode cache,
     Limits limits,
@@ -37,49 +37,49 @@
     List<ServiceClass> services,
     List<Tenant> tenants,
     double overShareWorth,
-    double tick,
+    double tickSeconds,
     Spread spread) {
 
-  /** This instance's part of the floor of the cap, rounded up. */
-  public int floorPart() {
+  /** Returns this instance's part of the floor of the cap, rounded up. */
+  public int capFloorPart() {
     return (spread.tierFloor() + instances - 1) / instances;
   }
 
-  /** The same with other limits. */
-  public Settings with(Limits others) {
+  /** Returns a copy with other limits. */
+  public Settings withLimits(Limits newLimits) {
     return new Settings(
         zone,
         zones,
         kinds,
-        number,
+        instanceNumber,
         instances,
-        asksForList,
+        callsForList,
         weights,
         cache,
-        others,
+        newLimits,
         contract,
         prices,
         services,
         tenants,
         overShareWorth,
-        tick,
+        tickSeconds,
         spread);
   }
 
   /**
-   * How keys are spread over servers. All instances of a tier have the same.
+   * How keys are distributed over servers. All instances of a tier must agree.
    *
-   * @param epsilon ε of the paper: how far a server's requests in flight may lie above the mean
+   * @param epsilon ε of the paper: how far a server's requests in flight may exceed the mean
    * @param tierFloor the floor of the cap, over all instances together
-   * @param points of a server of unit weight on the ring
+   * @param points number of points of a server of unit weight on the ring
    */
   public record Spread(double epsilon, int tierFloor, int points) {
     /**
-     * What all have run with. The floor is a few requests for each core of a usual machine, so that
-     * chance alone sends no key to caches lacking it; with as many points, the shares of homes
-     * differ by about 1/sqrt(128).
+     * The default. The floor is a few requests per core of a usual machine, so that chance alone
+     * sends no key to a cache that lacks it; with 128 points the servers' shares of keys differ by
+     * about 1/sqrt(128).
      */
-    public static final Spread USUAL = new Spread(0.5, 12, 128);
+    public static final Spread DEFAULT = new Spread(0.5, 12, 128);
   }
 
   /** What the weights in the list mean. */
@@ -89,105 +89,108 @@
     ROUGH,
     LIVE;
 
-    /** Whether they tell a size that stays as it is. */
-    public boolean steady() {
+    /** Returns whether the weights are fixed capacities, not current load. */
+    public boolean areFixed() {
       return this == NOMINAL || this == ROUGH;
     }
   }
 
-  /** What repeating a request does. */
+  /** The effect of repeating a request. */
   public enum Effect {
     SAFE,
     KEYED,
     UNSAFE
   }
 
-  /** Which servers drop the repeats of a keyed request. */
+  /** The group of servers that together drop the repeats of a keyed request. */
   public enum Group {
     ALL,
     ZONE,
     CELL;
 
-    /** Whether two servers are of one group. */
-    public boolean holds(ServerEntry a, ServerEntry b) {
+    /** Returns whether two servers belong to one group. */
+    public boolean includesBoth(ServerEntry first, ServerEntry second) {
       return switch (this) {
         case ALL -> true;
-        case ZONE -> a.zone().equals(b.zone());
-        case CELL -> a.cell() == b.cell() && a.zone().equals(b.zone());
+        case ZONE -> first.zone().equals(second.zone());
+        case CELL -> first.cell() == second.cell() && first.zone().equals(second.zone());
       };
     }
   }
 
   /**
-   * How the caches work.
+   * How caches and origin work together.
    *
-   * @param aside whether the instance itself fetches from the origin what a cache lacks
-   * @param originKind the machine kind of the origin in the list, null if it is not listed
-   * @param originFallMultiple the multiple of its capacity at which the origin halts, 0 for none
-   * @param originFallSeconds how long that takes
+   * @param aside whether the instance itself fetches misses from the origin (cache-aside)
+   * @param originKind the machine kind of the origin in the list; null if it is not listed
+   * @param originFailureMultiple the multiple of its capacity at which the origin fails; 0 for none
+   * @param originFailureSeconds how long that load must last
    */
   public record CacheMode(
-      boolean aside, String originKind, double originFallMultiple, double originFallSeconds) {}
+      boolean aside,
+      String originKind,
+      double originFailureMultiple,
+      double originFailureSeconds) {}
 
   /**
-   * What the deployment permits.
+   * Limits and permissions of the deployment.
    *
-   * @param maxAttempts attempts a request may have
-   * @param parallelAttempts whether two may be out together
-   * @param mayCancel whether attempts may be called off
+   * @param maxAttempts maximum attempts for a request
+   * @param parallelAttempts whether several attempts of a request may be in flight
+   * @param mayCancel whether attempts may be cancelled
    * @param mayProbe whether servers may be probed
-   * @param mayTell whether instances may send each other messages
-   * @param advisesRetry whether clients are given a time to stay away
-   * @param maxRetryAfter the longest time that clients follow
+   * @param mayMessagePeers whether instances may send each other messages
+   * @param advisesRetryAfter whether a refusal gives a time after which to retry
+   * @param maxRetryAfter longest such time that clients respect, in seconds
    * @param connectTimeout seconds after which a connection attempt fails
    * @param idleTimeout seconds after which an idle connection is closed
-   * @param perConnection attempts that share a connection
-   * @param maxOpen requests that may be open at a time
+   * @param attemptsPerConnection multiplexing depth: attempts that share a connection
+   * @param maxOpen maximum open requests
    */
   public record Limits(
       int maxAttempts,
       boolean parallelAttempts,
       boolean mayCancel,
       boolean mayProbe,
-      boolean mayTell,
-      boolean advisesRetry,
+      boolean mayMessagePeers,
+      boolean advisesRetryAfter,
       double maxRetryAfter,
       double connectTimeout,
       double idleTimeout,
-      int perConnection,
+      int attemptsPerConnection,
       int maxOpen) {
 
-    /** The same with no more requests open than this. */
-    public Limits open(int most) {
+    /** Returns a copy that limits open requests to this number, if it is lower. */
+    public Limits withMaxOpen(int newMaxOpen) {
       return new Limits(
           maxAttempts,
           parallelAttempts,
           mayCancel,
           mayProbe,
-          mayTell,
-          advisesRetry,
+          mayMessagePeers,
+          advisesRetryAfter,
           maxRetryAfter,
           connectTimeout,
           idleTimeout,
-          perConnection,
-          Math.min(most, maxOpen));
+          attemptsPerConnection,
+          Math.min(newMaxOpen, maxOpen));
     }
   }
 
   /**
-   * The figures of the four rules.
+   * Parameters of the four rules; times are in seconds.
    *
-   * @param answerGrace how long past the client's deadline a final answer still counts
-   * @param askWithin how long an instance without a subscription may go without asking
-   * @param drainGrace how long sends to a draining server may go on
-   * @param coldFrom the share of its capacity that a started server has at least
-   * @param warmWithin the time after which it is warm at the latest
-   * @param overloadFactor the multiple of its capacity that pushes a cold server over
-   * @param overloadFor how long that takes
+   * @param answerGrace how long after the client's deadline a final answer still counts
+   * @param callWithin longest time between calls for the list without a subscription
+   * @param drainGrace how long requests may still be sent to a draining server
+   * @param coldFrom the part of its capacity that a server has right after its start
+   * @param warmWithin time after which it is warm
+   * @param overloadFactor the multiple of its capacity at which a cold server fails
+   * @param overloadFor how long that load must last
    */
   public record Contract(
       double answerGrace,
-      double askWithin,
+      double callWithin,
       double drainGrace,
       double coldFrom,
       double warmWithin,
@@ -195,8 +198,8 @@
       double overloadFor) {
 
     /**
-     * The share of its capacity that a server has so many seconds after its start: 1 once it is
-     * warm.
+     * Returns the part of its capacity that a server has this many seconds after its start; 1 once
+     * it is warm.
      */
     public double warmth(double age) {
       if (!(age < warmWithin)) {
@@ -208,17 +211,17 @@
   }
 
   /**
-   * What comes off the result, each times its share or rate.
+   * Deductions from the result, each multiplied by its share or rate.
    *
    * @param crossZone attempts that cross zones
-   * @param waste work that served no answer
-   * @param lateFailure worth that ended unserved after its aim
+   * @param waste work that led to no answer
+   * @param lateFailure worth of requests that ended unserved after their aim
    * @param origin fetches from the origin
    * @param probe probes
    * @param handshake new connections
    * @param connection open connections
    * @param peer bytes between instances
-   * @param discovery list lines
+   * @param discovery list entries
    */
   public record Prices(
       double crossZone,
@@ -235,14 +238,15 @@
    * A class of requests.
    *
    * @param name its name
-   * @param aim an answer inside this time has the full worth
+   * @param aim time within which an answer has its full worth, in seconds
    * @param aimStretch multiple of the request's own work by which the aim grows
-   * @param deadline how long the client waits over all its tries
+   * @param deadline how long the client waits over all its attempts, in seconds
    * @param worth what a request is worth
-   * @param lateShare the part of the worth that an answer past the aim still has
-   * @param effect what repeating it does
+   * @param lateShare the part of the worth that an answer after the aim still has
+   * @param effect the effect of repeating it
    * @param group which servers drop its repeats
-   * @param repeatWindow how long they do so, from the first send that may have run
+   * @param repeatWindow how long they drop them, in seconds after the first attempt that may have
+   *     run
    * @param streamed whether answers are streamed
    */
   public record ServiceClass(
@@ -261,8 +265,8 @@
    * A tenant.
    *
    * @param name its name
-   * @param share its part of the service
-   * @param quota requests a second within its share, over all instances
+   * @param share its share of the service
+   * @param quota requests per second within its share, over all instances
    */
   public record Tenant(String name, double share, double quota) {}
 }
--- a/src/main/java/beamspread/node/Dispatcher.java
+++ b/src/main/java/beamspread/node/Dispatcher.java
@@ -2,7 +2,7 @@
 
 import beamspread.maintenance.Figures;
 import beamspread.maintenance.Tally;
-import beamspread.model.Learnt;
+import beamspread.model.LearnedState;
 import beamspread.model.ListEvidence;
 import beamspread.model.LoadReport;
 import beamspread.model.MembershipUpdate;
@@ -113,13 +113,14 @@
     this.intake =
         new RequestIntake(loop, open, events, balancer, metrics, log, longestDeadlineNanos);
     this.targets =
-        new Targets(pools, clock, update -> events.tell(now -> balancer.membership(now, update)));
+        new Targets(
+            pools, clock, update -> events.tell(now -> balancer.onMembershipUpdate(now, update)));
     this.discovery =
         new DiscoveryClient(
             loop,
             bootstrap,
             config.discovery(),
-            settings.asksForList(),
+            settings.callsForList(),
             config.known().version(),
             unreadNanos,
             this);
@@ -152,8 +153,8 @@
   /** Tells the module the list as it was last known, and begins to follow it. */
   void start(MemberList known) {
     listEvidence(System.nanoTime(), ListEvidence.STARTED);
-    targets.list(known, MembershipUpdate.Kind.REMEMBERED);
-    if (!settings.asksForList()) {
+    targets.list(known, MembershipUpdate.Kind.CACHED);
+    if (!settings.callsForList()) {
       discovery.follow();
     }
   }
@@ -191,7 +192,7 @@
    * taken here.
    */
   void share(int sockets, int openRequests) {
-    balancer.share(Math.min(openRequests, settings.limits().maxOpen() / 3 * 2));
+    balancer.setOpenInOtherProcess(Math.min(openRequests, settings.limits().maxOpen() / 3 * 2));
     if (sockets != heldByOthers) {
       heldByOthers = sockets;
       pools.use(config.pool().without(sockets));
@@ -236,14 +237,14 @@
   /** What a successor had better know, null if too little is learnt yet. */
   byte[] learnt() {
     double now = clock.now();
-    return LearntNote.write(now, balancer.learnt(now));
+    return LearntNote.write(now, balancer.learnedState(now));
   }
 
   /** Takes over a predecessor's note once the list is known; whether it was a good one. */
   boolean inherit(byte[] note) {
-    Learnt learnt = LearntNote.read(clock.now(), note);
+    LearnedState learnt = LearntNote.read(clock.now(), note);
     if (learnt != null) {
-      balancer.inherit(learnt);
+      balancer.restore(learnt);
     }
     return learnt != null;
   }
@@ -264,7 +265,7 @@
 
   /** How many requests were answered here, and by no cache server, for each cause. */
   Map<UnservedCause, Long> unserved() {
-    return balancer.unserved();
+    return balancer.unservedByCause();
   }
 
   Figures figures() {
@@ -318,7 +319,7 @@
                   load);
           metrics.attemptEnded(outcome, request.command.request);
           try {
-            balancer.outcome(now, outcome);
+            balancer.onOutcome(now, outcome);
           } finally {
             open.settle(request);
           }
@@ -406,14 +407,14 @@
   public void listEvidence(long at, ListEvidence evidence) {
     events.tell(
         now -> {
-          balancer.listEvidence(clock.at(at), evidence);
+          balancer.onListEvidence(clock.at(at), evidence);
           expiry.look();
         });
   }
 
   /** Nothing goes out by the list any more, also of what was decided before. */
   private void listExpired() {
-    events.tell(balancer::answerHeld);
+    events.tell(balancer::answerHeldRequests);
     open.unsentAttempts().forEach(attempt -> withdraw(attempt, Outcome.Result.MOOT));
   }
 
@@ -429,7 +430,7 @@
         failure.kind() == CallFailure.Kind.STATUS
             ? MembershipUpdate.Kind.OVERLOADED
             : MembershipUpdate.Kind.FAILED;
-    events.tell(now -> balancer.membership(now, new MembershipUpdate(kind, 0, List.of())));
+    events.tell(now -> balancer.onMembershipUpdate(now, new MembershipUpdate(kind, 0, List.of())));
   }
 
   // What the module decides.
@@ -529,16 +530,16 @@
   }
 
   @Override
-  public void wake(long token, double delay) {
+  public void setTimer(long token, double delay) {
     timers.set(token, delay);
   }
 
   private void wakeDue(long token) {
-    events.tell(now -> balancer.timer(now, token));
+    events.tell(now -> balancer.onTimer(now, token));
   }
 
   @Override
-  public void cancelWake(long token) {
+  public void cancelTimer(long token) {
     timers.cancel(token);
   }
 
--- a/src/main/java/beamspread/node/NodeConfig.java
+++ b/src/main/java/beamspread/node/NodeConfig.java
@@ -6,8 +6,8 @@
 import beamspread.node.variants.VariantFileReader;
 import beamspread.node.variants.VariantPart;
 import beamspread.pool.PoolSettings;
-import beamspread.sim.Dialect;
 import beamspread.sim.Message;
+import beamspread.sim.MessageConverter;
 import beamspread.sim.WireException;
 import beamspread.tier.Card;
 import beamspread.tier.TierSettings;
@@ -104,7 +104,7 @@
   static NodeConfig parse(Message config) throws WireException {
     Message limits = config.requiredNested("limits");
     Message told = config.requiredNested("settings");
-    Settings settings = Dialect.settings(told);
+    Settings settings = MessageConverter.settings(told);
     MemberList known = MemberList.parse(config.requiredNested("known"));
     if (!known.faults().isEmpty()) {
       throw new WireException("known: " + String.join("; ", known.faults()));
@@ -114,7 +114,7 @@
       throw new WireException("settings: " + String.join("; ", faults));
     }
     int sockets = (int) limits.requiredNumber("sockets");
-    settings = settings.with(settings.limits().open(Math.max(8, sockets / OPEN_PART)));
+    settings = settings.withLimits(settings.limits().withMaxOpen(Math.max(8, sockets / OPEN_PART)));
     return new NodeConfig(
         MemberList.listenAddress(config.requiredText("listen")),
         MemberList.address(config.requiredText("discovery")),
@@ -157,9 +157,12 @@
         throw new WireException("peers: " + e.getMessage());
       }
     }
-    if (settings.number() < 0 || settings.number() >= peers.size()) {
+    if (settings.instanceNumber() < 0 || settings.instanceNumber() >= peers.size()) {
       throw new WireException(
-          "peers: has " + peers.size() + " addresses and none for number " + settings.number());
+          "peers: has "
+              + peers.size()
+              + " addresses and none for number "
+              + settings.instanceNumber());
     }
     InetSocketAddress listen;
     Card card;
@@ -171,7 +174,8 @@
     } catch (IllegalArgumentException e) {
       throw new WireException("tier_file: " + e.getMessage());
     }
-    return new TierPart(listen, peers, settings.number(), card, of, management(config) != null);
+    return new TierPart(
+        listen, peers, settings.instanceNumber(), card, of, management(config) != null);
   }
 
   /** Where the operators' file says which keys are variants of one another; else null. */
--- a/src/main/java/beamspread/node/OperatorCalls.java
+++ b/src/main/java/beamspread/node/OperatorCalls.java
@@ -149,7 +149,7 @@
   }
 
   @Override
-  public boolean ready() {
+  public boolean isReady() {
     return phase == SharedFolder.Phase.TAKES;
   }
 
--- a/src/main/java/beamspread/node/PoolPlan.java
+++ b/src/main/java/beamspread/node/PoolPlan.java
@@ -91,7 +91,7 @@
     int connections = whole("connections", (int) Math.max(1, tierPart), most);
     // Where a request may not have two attempts out, one that is given up must be off its
     // connection before the next goes out: nothing may share it.
-    int depth = limits.parallelAttempts() ? Math.max(1, limits.perConnection()) : 1;
+    int depth = limits.parallelAttempts() ? Math.max(1, limits.attemptsPerConnection()) : 1;
     // Well before the server closes it, however soon that is.
     double idle = limits.idleTimeout() / 2;
     PoolSettings plan =
--- a/src/main/java/beamspread/node/RequestIntake.java
+++ b/src/main/java/beamspread/node/RequestIntake.java
@@ -72,8 +72,8 @@
   /** The event loop has stalled for so long until now. */
   void stalled(long nanos) {
     long now = System.nanoTime();
-    reserve.stalled(now, nanos);
-    limit.stalled(now, nanos, open.unanswered());
+    reserve.recordStall(now, nanos);
+    limit.recordStall(now, nanos, open.unanswered());
   }
 
   /** What is taken from now on has to be answered by this time, whatever its deadline. */
@@ -147,7 +147,7 @@
       slot.line(BUSY);
       return null;
     }
-    wait -= reserve.nanos(now, wait);
+    wait -= reserve.reserveNanos(now, wait);
     VariantKeys.Rewrite rewrite = variants == null ? null : variants.asks(command);
     boolean other = rewrite != null && !rewrite.key().equals(command.request.key());
     MetaCommand asked = other ? command.about(rewrite.key()) : command;
@@ -169,7 +169,7 @@
   private Taken begin(OpenRequest request, long wait) {
     Request whole = request.command.request;
     long asked = (long) (whole.budget() * 1e9);
-    Request known = wait < asked ? whole.within(wait / 1e9) : whole;
+    Request known = wait < asked ? whole.withBudget(wait / 1e9) : whole;
     open.add(request);
     metrics.taken(whole);
     events.tell(at -> tellModule(at, request, known));
@@ -178,7 +178,7 @@
 
   private void tellModule(double at, OpenRequest request, Request known) {
     try {
-      balancer.request(at, known);
+      balancer.onRequest(at, known);
     } catch (RuntimeException | VirtualMachineError e) {
       report("decision module", e);
       open.fail(request);
@@ -195,7 +195,7 @@
     events.tell(
         now -> {
           try {
-            balancer.clientGone(now, request.id());
+            balancer.onClientGone(now, request.id());
           } finally {
             open.settle(request);
           }
--- a/src/main/java/beamspread/node/Targets.java
+++ b/src/main/java/beamspread/node/Targets.java
@@ -107,7 +107,7 @@
   private void byHand(ServerEntry line) {
     if (line != null) {
       connect(line);
-      module.accept(new MembershipUpdate(MembershipUpdate.Kind.BY_HAND, 0, List.of(line)));
+      module.accept(new MembershipUpdate(MembershipUpdate.Kind.OPERATOR, 0, List.of(line)));
       disconnect(line);
     }
   }
--- a/src/main/java/beamspread/node/handover/LearntNote.java
+++ b/src/main/java/beamspread/node/handover/LearntNote.java
@@ -1,6 +1,6 @@
 package beamspread.node.handover;
 
-import beamspread.model.Learnt;
+import beamspread.model.LearnedState;
 import beamspread.node.wire.Json;
 import beamspread.sim.Message;
 import beamspread.sim.WireException;
@@ -24,7 +24,7 @@
    * @param at the clock's time, in seconds since 1970
    * @return null if too little is learnt yet for a note
    */
-  public static byte[] write(double at, Learnt learnt) {
+  public static byte[] write(double at, LearnedState learnt) {
     if (!rate(learnt.warmRate()) || !rate(learnt.answerRate()) || !rate(learnt.requestRate())) {
       return null;
     }
@@ -36,7 +36,7 @@
               json.writeNumberField("answer_rate", learnt.answerRate());
               json.writeNumberField("request_rate", learnt.requestRate());
               json.writeObjectFieldStart("shares");
-              for (Map.Entry<Long, Double> share : learnt.shares().entrySet()) {
+              for (Map.Entry<Long, Double> share : learnt.keyShares().entrySet()) {
                 json.writeNumberField(Long.toHexString(share.getKey()), share.getValue());
               }
               json.writeEndObject();
@@ -54,7 +54,7 @@
    * @param now the clock's time, in seconds since 1970
    * @return null if it is none, or too old
    */
-  public static Learnt read(double now, byte[] note) {
+  public static LearnedState read(double now, byte[] note) {
     Message json;
     try {
       json = Message.parse(new String(note, StandardCharsets.UTF_8));
@@ -77,8 +77,8 @@
         return null;
       }
     }
-    Learnt learnt =
-        new Learnt(
+    LearnedState learnt =
+        new LearnedState(
             json.number("warm_rate", 0),
             json.number("answer_rate", 0),
             json.number("request_rate", 0),
--- a/src/main/java/beamspread/node/mgmt/MgmtCalls.java
+++ b/src/main/java/beamspread/node/mgmt/MgmtCalls.java
@@ -19,7 +19,7 @@
   }
 
   /** Whether this process takes clients. */
-  boolean ready();
+  boolean isReady();
 
   /** The figures, as one JSON object. */
   String figures();
--- a/src/main/java/beamspread/node/relay/ValueRelays.java
+++ b/src/main/java/beamspread/node/relay/ValueRelays.java
@@ -89,7 +89,7 @@
     }
 
     @Override
-    public void whole() {
+    public void isFullList() {
       relay.whole(clock.getAsLong());
     }
 
--- a/src/main/java/beamspread/node/variants/VariantTraffic.java
+++ b/src/main/java/beamspread/node/variants/VariantTraffic.java
@@ -61,9 +61,9 @@
     }
 
     @Override
-    public void whole() {
+    public void isFullList() {
       keys.answered(System.nanoTime(), asked, hash.build());
-      sink.whole();
+      sink.isFullList();
     }
 
     @Override
--- a/src/main/java/beamspread/node/wire/MetaCommand.java
+++ b/src/main/java/beamspread/node/wire/MetaCommand.java
@@ -94,7 +94,7 @@
     return new MetaCommand(
         null,
         false,
-        request.about(key),
+        request.withKey(key),
         other,
         deadlineStart + longer,
         deadlineEnd + longer,
--- a/src/main/java/beamspread/overload/ConcurrencyLimit.java
+++ b/src/main/java/beamspread/overload/ConcurrencyLimit.java
@@ -1,69 +1,71 @@
 package beamspread.overload;
 
 /**
- * How many requests a process may have in progress, by how long it has stalled of late. Times are
- * nanoseconds of one clock that never runs backwards.
+ * Limits the requests in progress by the recent stalls of this process. Times are nanoseconds of a
+ * monotonic clock.
  *
- * <p>What a stall makes late is what is in progress when it begins. There is no limit until the
- * process has stalled for {@link #LEAST_STALL_NANOS}; each such stall then cuts the limit to a part
- * of what was in progress, the smaller the longer it was (the gradient of adaptive concurrency
- * limits), and without further stalls it grows again, until it is above what the process had in
- * progress before it stalled.
+ * <p>A stall delays the requests that are in progress when it begins. There is no limit until the
+ * process has stalled for {@link #MIN_STALL_NANOS}. Each such stall cuts the limit to a part of the
+ * requests in progress that is smaller the longer the stall was (the gradient of adaptive
+ * concurrency limits). Without further stalls the limit grows until it exceeds twice the number of
+ * requests that were in progress before the stalls, and is then removed.
  */
 public final class ConcurrencyLimit {
   /**
-   * The shortest stall that counts. An answer may be half a second late before it is lost; half of
-   * that is left to what else delays it.
+   * The shortest stall that counts. An answer is lost if it is half a second late; half of that is
+   * reserved for other delays.
    */
-  public static final long LEAST_STALL_NANOS = 250_000_000L;
+  public static final long MIN_STALL_NANOS = 250_000_000L;
 
-  /** No stall cuts the limit to a smaller part than this. */
-  private static final double SMALLEST_GRADIENT = 0.5;
+  /** Smallest factor by which one stall cuts the limit. */
+  private static final double MIN_GRADIENT = 0.5;
 
   /**
-   * So many requests may always be in progress, so that the process goes on serving: as many as one
-   * connection may have.
+   * Lower bound of the limit, so that the process goes on serving: the multiplexing depth of one
+   * connection.
    */
-  private static final int LEAST = 32;
+  private static final int MIN_LIMIT = 32;
 
-  /** How long the limit takes to double without stalls. */
+  /** Time in which the limit doubles without stalls. */
   private static final long DOUBLING_NANOS = 4_000_000_000L;
 
   /** The limit right after the last stall. */
-  private double limit = Double.POSITIVE_INFINITY;
+  private double limitAfterStall = Double.POSITIVE_INFINITY;
 
-  /** The largest number in progress at a stall, from which on there is no limit again. */
-  private int usual;
+  /** Most requests in progress at a stall; the limit is removed once it exceeds twice this. */
+  private int maxInProgress;
 
-  private long stalledAt;
+  private long lastStallNanos;
 
   /**
-   * The process has stalled for so long until now.
+   * Records a stall that ends now.
    *
-   * @param inProgress how many requests were in progress
+   * @param stallNanos how long the process stalled
+   * @param inProgress number of requests in progress
    */
-  public void stalled(long now, long nanos, int inProgress) {
-    if (nanos < LEAST_STALL_NANOS) {
+  public void recordStall(long nowNanos, long stallNanos, int inProgress) {
+    if (stallNanos < MIN_STALL_NANOS) {
       return;
     }
-    double before = current(now);
-    usual = Double.isInfinite(before) ? inProgress : Math.max(usual, inProgress);
-    double gradient = Math.max(SMALLEST_GRADIENT, (double) LEAST_STALL_NANOS / nanos);
-    limit = Math.max(LEAST, Math.min(before, inProgress) * gradient);
-    stalledAt = now;
+    double limitBefore = currentLimit(nowNanos);
+    maxInProgress =
+        Double.isInfinite(limitBefore) ? inProgress : Math.max(maxInProgress, inProgress);
+    double gradient = Math.max(MIN_GRADIENT, (double) MIN_STALL_NANOS / stallNanos);
+    limitAfterStall = Math.max(MIN_LIMIT, Math.min(limitBefore, inProgress) * gradient);
+    lastStallNanos = nowNanos;
   }
 
-  /** Whether one more request may begin. */
-  public boolean admits(long now, int inProgress) {
-    return inProgress < current(now);
+  /** Returns whether one more request may begin. */
+  public boolean admits(long nowNanos, int inProgress) {
+    return inProgress < currentLimit(nowNanos);
   }
 
-  private double current(long now) {
-    if (Double.isInfinite(limit)) {
-      return limit;
+  private double currentLimit(long nowNanos) {
+    if (Double.isInfinite(limitAfterStall)) {
+      return limitAfterStall;
     }
-    double doublings = Math.max(0, now - stalledAt) / (double) DOUBLING_NANOS;
-    double grown = limit * Math.pow(2, doublings);
-    return grown > 2.0 * Math.max(usual, LEAST) ? Double.POSITIVE_INFINITY : grown;
+    double doublings = Math.max(0, nowNanos - lastStallNanos) / (double) DOUBLING_NANOS;
+    double grown = limitAfterStall * Math.pow(2, doublings);
+    return grown > 2.0 * Math.max(maxInProgress, MIN_LIMIT) ? Double.POSITIVE_INFINITY : grown;
   }
 }
--- a/src/main/java/beamspread/overload/DeadlineReserve.java
+++ b/src/main/java/beamspread/overload/DeadlineReserve.java
@@ -1,44 +1,44 @@
 package beamspread.overload;
 
 /**
- * How much earlier than its client stops waiting a request is given up, by how long this process
- * has stalled of late. Times are nanoseconds of one clock that never runs backwards.
+ * Computes how long before the client's deadline a request is answered, from the recent stalls of
+ * this process. Times are nanoseconds of a monotonic clock.
  *
- * <p>Guards against the answer that nobody waits for any more: while a process stalls, stopped by
- * its machine or short of it, no timer fires, and what was to be answered then is answered that
- * much too late. A process that has stalled may stall again, and for longer: the reserve is twice
- * the longest stall, which counts half after each further half-life. It costs the answers that
- * would have come in the reserve, so it is never more than a quarter of the wait; where nothing
- * stalls there is none.
+ * <p>While a process stalls, because its machine has stopped it or has no CPU time for it, no timer
+ * fires, and answers that were due are sent after the client has stopped waiting. A process that
+ * has stalled may stall again, and for longer, so the reserve is twice the longest recent stall,
+ * which counts half after each half-life. Server answers that arrive within the reserve are wasted,
+ * so it is at most a quarter of the wait; without stalls it is 0.
  */
 public final class DeadlineReserve {
-  /** Stalls come in groups: what else runs on a machine does so for minutes. */
+  /** Stalls come in groups, since other load on a machine lasts for minutes. */
   private static final long HALF_LIFE_NANOS = 30_000_000_000L;
 
-  private static final int LARGEST_PART = 4;
+  /** The reserve is at most the wait divided by this. */
+  private static final int MAX_RESERVE_DIVISOR = 4;
 
-  /** A shorter stall delays no answer by a time that counts. */
-  private static final long LEAST_STALL_NANOS = 50_000_000L;
+  /** Shorter stalls are ignored: they delay answers too little to matter. */
+  private static final long MIN_STALL_NANOS = 50_000_000L;
 
-  private long longestStall;
-  private long stalledAt;
+  private long longestStallNanos;
+  private long longestStallAtNanos;
 
-  /** The process has stalled for so long until now. */
-  public void stalled(long now, long nanos) {
-    if (nanos >= faded(now)) {
-      longestStall = nanos;
-      stalledAt = now;
+  /** Records a stall of this length that ends now. */
+  public void recordStall(long nowNanos, long stallNanos) {
+    if (stallNanos >= decayedStallNanos(nowNanos)) {
+      longestStallNanos = stallNanos;
+      longestStallAtNanos = nowNanos;
     }
   }
 
-  /** What to take off a wait of so many nanoseconds. */
-  public long nanos(long now, long wait) {
-    return Math.max(0, Math.min(wait / LARGEST_PART, 2 * faded(now)));
+  /** Returns the reserve to subtract from a wait of this many nanoseconds. */
+  public long reserveNanos(long nowNanos, long waitNanos) {
+    return Math.max(0, Math.min(waitNanos / MAX_RESERVE_DIVISOR, 2 * decayedStallNanos(nowNanos)));
   }
 
-  private long faded(long now) {
-    double halfLives = Math.max(0, now - stalledAt) / (double) HALF_LIFE_NANOS;
-    long left = (long) (longestStall * Math.pow(0.5, halfLives));
-    return left < LEAST_STALL_NANOS ? 0 : left;
+  private long decayedStallNanos(long nowNanos) {
+    double halfLives = Math.max(0, nowNanos - longestStallAtNanos) / (double) HALF_LIFE_NANOS;
+    long remainingNanos = (long) (longestStallNanos * Math.pow(0.5, halfLives));
+    return remainingNanos < MIN_STALL_NANOS ? 0 : remainingNanos;
   }
 }
--- a/src/main/java/beamspread/overload/package-info.java
+++ b/src/main/java/beamspread/overload/package-info.java
@@ -1,5 +1,5 @@
 /**
- * How much work a process takes on that has stalled or may stall: how much earlier than its client
- * a request is given up, and how many requests may be in progress. Free of I/O and clocks.
+ * Overload protection for a process that stalls: the reserve before a request's deadline and the
+ * limit on requests in progress. The package does no I/O and reads no clock.
  */
 package beamspread.overload;
--- a/src/main/java/beamspread/policy/Actions.java
+++ b/src/main/java/beamspread/policy/Actions.java
@@ -1,26 +1,30 @@
 package beamspread.policy;
 
-/** What a {@link Balancer} can do; the shell around it carries these out, in order. */
+/** The actions of a {@link Balancer}; its host carries them out in the order of the calls. */
 public interface Actions {
-  /** Sends the request's next attempt to a server; a timeout of 0 waits as long as the client. */
+  /** Sends the request's next attempt; a timeout of 0 waits until the client's deadline. */
   void send(String requestId, long server, double timeout);
 
-  /** Stops waiting for one attempt. */
+  /** Cancels one attempt. */
   void cancel(String requestId, int attempt);
 
-  /** Final answer: not done, trying again does no harm; {@code retryAfter} of 0 is no advice. */
+  /**
+   * Gives the final answer "refused": the request was not carried out, and repeating it is safe.
+   *
+   * @param retryAfter seconds after which the client should retry; 0 for no advice
+   */
   void refuse(String requestId, double retryAfter);
 
-  /** Final answer: failed, perhaps with effect. */
+  /** Gives the final answer "failed": the request may have been carried out. */
   void fail(String requestId);
 
-  /** Asks for a timer event with this token. */
-  void wake(long token, double delay);
+  /** Sets a timer that fires with this token after a delay in seconds. */
+  void setTimer(long token, double delay);
 
-  /** A timer event is no longer wanted; it may come all the same. */
-  default void cancelWake(long token) {}
+  /** Cancels a timer; it may fire nevertheless. */
+  default void cancelTimer(long token) {}
 
-  /** Subscribes to changes of the server list, or stops. */
+  /** Subscribes to changes of the server list, or unsubscribes. */
   void subscribe(boolean on);
 
   /** Closes the idle connections to a server. */
--- a/src/main/java/beamspread/policy/Balancer.java
+++ b/src/main/java/beamspread/policy/Balancer.java
@@ -1,7 +1,7 @@
 package beamspread.policy;
 
 import beamspread.model.Hashes;
-import beamspread.model.Learnt;
+import beamspread.model.LearnedState;
 import beamspread.model.ListEvidence;
 import beamspread.model.MembershipUpdate;
 import beamspread.model.Outcome;
@@ -16,77 +16,77 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Decides where requests go: Random Jump Consistent Hashing over the servers of the list, with a
- * cap on the requests that this balancer has in flight at each. One object per instance; each
- * method takes the time, in seconds, at which its event happened.
+ * Chooses a server for each request: Random Jump Consistent Hashing over the listed servers, with a
+ * cap on the requests that this balancer has in flight at each server. There is one balancer per
+ * instance; each method takes the time of its event in seconds.
  */
 public final class Balancer {
-  static final long FEED_TOKEN = 0;
-  private static final long HOLD = 1;
+  static final long FEED_TIMER_TOKEN = 0;
+  private static final long HOLD_BIT = 1; // Set in the token of a hold timer; serials are even.
 
-  /** Jumps tried before giving the ordinary path up: each finds one of many servers. */
+  /** Jumps before falling back to the least loaded server; each draws one of many servers. */
   private static final int MAX_JUMPS = 64;
 
   /**
-   * Further attempts earned by each answer, and how many may be saved up. Where everything fails,
-   * retries would multiply the load that makes it fail; a tenth lets single failures be mended.
+   * Retries earned by each answer, and the most that are saved up. If everything fails, unlimited
+   * retries multiply the load that causes the failures; a tenth still covers single failures.
    */
-  private static final double RETRY_SHARE = 0.1;
+  private static final double RETRIES_PER_ANSWER = 0.1;
 
-  private static final double RETRY_BURST = 10;
+  private static final double MAX_SAVED_RETRIES = 10;
 
-  /** The part of a class's aim that an answer from the cache may take before it is a strain. */
-  private static final double FAIR_PART_OF_AIM = 0.4;
+  /** Part of a class's aim that a cache hit may take before its server counts as saturated. */
+  private static final double HIT_PART_OF_AIM = 0.4;
 
   /**
-   * What a zone's own copy of a key must save to be worth its misses: sightings there, in the
-   * heat's window, times the price of crossing; and jumps for each zone and home to look for a
-   * server.
+   * A key is cached in this zone too if its recent requests here times the price of crossing zones
+   * reach this value; below it, the extra misses cost more.
    */
-  private static final double LOCAL_SIGHTINGS = 0.15;
+  private static final double MIN_ZONE_COPY_SAVING = 0.15;
 
-  private static final double LOCAL_JUMPS = 3;
+  /** Jumps that look for a server in this zone, for each zone and each owner of the key. */
+  private static final double JUMPS_PER_ZONE_AND_OWNER = 3;
 
-  /** Likely fetches always let through, as a part of requests: about the misses of a warm fleet. */
-  private static final double FETCH_FLOOR = 0.1;
+  /** Likely fetches that are always admitted, per request: about the misses of a warm fleet. */
+  private static final double MIN_FETCHES_PER_REQUEST = 0.1;
 
-  /** Use of its cores at which a server's queue grows long. */
-  private static final double FULL_CORES = 0.85;
+  /** CPU utilization at which a server's queue grows long. */
+  private static final double FULL_UTILIZATION = 0.85;
 
-  /** A key with more than this part of a server's fair share of requests is shared by several. */
-  private static final double HOT_SHARE = 0.5;
+  /** A key with more than this part of a server's fair share of requests gets several owners. */
+  private static final double HOT_KEY_PART = 0.5;
 
-  /** The part of the places for open requests that reads may take: writes are worth more. */
-  private static final double READS_PART = 0.875;
+  /** Part of the limit on open requests that reads may use: writes are worth more. */
+  private static final double MAX_READS_PART = 0.875;
 
-  /** Seconds for which connections are closed after use: as long as a fleet keeps its size. */
-  private static final double THRIFT = 300;
+  /** How long connections are closed after use: about as long as a fleet keeps its size. */
+  private static final double CLOSE_AFTER_USE_SECONDS = 300;
 
   private final Settings settings;
   private final Actions actions;
   private final SplittableRandom random;
   private final MembershipFeed feed;
-  private final KeyHeat heat = new KeyHeat();
+  private final KeyFrequencySketch keyFrequencies = new KeyFrequencySketch();
   private final OriginGuard guard = new OriginGuard();
   private final Rates rates = new Rates();
   private final SlotTable slots;
-  private final Map<String, Settings.ServiceClass> classes = new HashMap<>();
-  private final Map<String, PendingRequest> pending = new HashMap<>();
-  private final Map<Long, PendingRequest> bySerial = new HashMap<>();
-  private final Map<UnservedCause, Long> unserved = new EnumMap<>(UnservedCause.class);
-  private List<ServerHealth> ready = List.of();
+  private final Map<String, Settings.ServiceClass> classesByName = new HashMap<>();
+  private final Map<String, PendingRequest> pendingById = new HashMap<>();
+  private final Map<Long, PendingRequest> pendingBySerial = new HashMap<>();
+  private final Map<UnservedCause, Long> unservedByCause = new EnumMap<>(UnservedCause.class);
+  private List<ServerHealth> caches = List.of();
   private List<ServerHealth> origins = List.of();
   private double totalWeight;
-  private double greatestShare = 1;
-  private double usualStrain;
-  private boolean fewFailing;
+  private double largestShare = 1;
+  private double medianSaturation;
+  private boolean fewFail;
   private int inFlight;
-  private int openElsewhere;
-  private long serials;
-  private double retryTokens = RETRY_BURST;
-  private double thriftUntil = Double.NEGATIVE_INFINITY;
+  private int openInOtherProcess;
+  private long lastSerial;
+  private double savedRetries = MAX_SAVED_RETRIES;
+  private double closeAfterUseUntil = Double.NEGATIVE_INFINITY;
 
-  /** A balancer that knows nothing yet. */
+  /** Creates a balancer that has no list of servers yet. */
   public Balancer(Settings settings, long seed, Actions actions) {
     this.settings = settings;
     this.actions = actions;
@@ -94,205 +94,206 @@
     this.slots = new SlotTable(settings.spread().points());
     this.feed = new MembershipFeed(settings, actions, random.split());
     for (Settings.ServiceClass service : settings.services()) {
-      classes.put(service.name(), service);
+      classesByName.put(service.name(), service);
     }
   }
 
-  /** News of the list of servers. */
-  public void membership(double now, MembershipUpdate update) {
+  /** Applies an update of the list of servers. */
+  public void onMembershipUpdate(double now, MembershipUpdate update) {
     feed.apply(now, update);
-    List<ServerHealth> caches = new ArrayList<>();
-    List<ServerHealth> fetchers = new ArrayList<>();
+    List<ServerHealth> cacheServers = new ArrayList<>();
+    List<ServerHealth> originServers = new ArrayList<>();
     totalWeight = 0;
-    for (ServerHealth server : feed.ready()) {
+    for (ServerHealth server : feed.readyServers()) {
       if (server.entry.kind().equals(settings.cache().originKind())) {
-        fetchers.add(server);
+        originServers.add(server);
       } else {
-        caches.add(server);
+        cacheServers.add(server);
         totalWeight += weight(server);
       }
     }
-    boolean weighted = settings.weights().steady();
-    if (!caches.equals(ready) || (weighted && !update.kind().failed())) {
-      slots.rebuild(caches, weighted);
+    boolean weighted = settings.weights().areFixed();
+    if (!cacheServers.equals(caches) || (weighted && !update.kind().isFailure())) {
+      slots.rebuild(cacheServers, weighted);
     }
-    ready = caches;
-    origins = fetchers;
+    caches = cacheServers;
+    origins = originServers;
   }
 
-  /** Something is known of the list's service since this time. */
-  public void listEvidence(double at, ListEvidence evidence) {
-    feed.evidence(at, evidence);
+  /** Records whether discovery was reachable and confirmed the list at this time. */
+  public void onListEvidence(double time, ListEvidence evidence) {
+    feed.recordEvidence(time, evidence);
   }
 
-  /** Whether the list is too old for any request to go out by it. */
+  /** Returns whether the list is too old for any request to be sent by it. */
   public boolean listExpired(double now) {
-    return feed.freshness().expired(now);
+    return feed.freshness().isExpired(now);
   }
 
-  /** When the list expires if nothing more is heard; positive infinity for never. */
+  /** Returns when the list expires without further evidence; positive infinity for never. */
   public double listExpiresAt() {
     return feed.freshness().expiresAt();
   }
 
-  /** The list has expired: requests that are held here are answered. */
-  public void answerHeld(double now) {
-    List<PendingRequest> held = pending.values().stream().filter(p -> p.waiting).toList();
+  /** Answers the requests that are held here, once the list has expired. */
+  public void answerHeldRequests(double now) {
+    List<PendingRequest> held = pendingById.values().stream().filter(p -> p.held).toList();
     held.forEach(p -> resume(now, p));
   }
 
   private double weight(ServerHealth server) {
-    return settings.weights() == Settings.Weights.NONE ? 1 : LoadCap.usable(server.entry.weight());
+    return settings.weights() == Settings.Weights.NONE ? 1 : LoadCap.valid(server.entry.weight());
   }
 
-  /** A client's request. */
-  public void request(double now, Request request) {
-    Settings.ServiceClass type = classes.get(request.serviceClass());
+  /** Handles a client's request. */
+  public void onRequest(double now, Request request) {
+    Settings.ServiceClass type = classesByName.get(request.serviceClass());
     if (type == null) {
-      // Nothing is known of what it does: no server may get it.
-      unserved.merge(UnservedCause.UNKNOWN_CLASS, 1L, Long::sum);
+      // The effect of an unknown class is unknown, so no server may receive the request.
+      unservedByCause.merge(UnservedCause.UNKNOWN_CLASS, 1L, Long::sum);
       actions.fail(request.id());
       return;
     }
-    everySecond(now);
-    rates.request();
+    updateEachSecond(now);
+    rates.countRequest();
     String subject = request.key() != null ? request.key() : request.id();
-    PendingRequest p = new PendingRequest(request, type, Hashes.of(subject), serials += 2, now);
-    pending.put(request.id(), p);
-    bySerial.put(p.serial, p);
+    PendingRequest call =
+        new PendingRequest(request, type, Hashes.of(subject), lastSerial += 2, now);
+    pendingById.put(request.id(), call);
+    pendingBySerial.put(call.serial, call);
     if (request.key() != null) {
-      shareOut(now, p);
-    }
-    // Rule 1: whatever else happens, the request is answered when its time is up.
-    actions.wake(p.serial, Math.max(0, p.deadline - now));
-    // Guards against more work than the servers can do, where every answer would come late: no more
-    // goes out while less would be answered within the aim (Little's law). Fetches have a window of
-    // their own, and one for each server is always fair.
-    int busy = inFlight - guard.fetches;
-    double places = settings.limits().maxOpen() * (request.write() ? 1 : READS_PART);
-    boolean hopeless = busy > ready.size() && busy > rates.answered * type.aim();
-    if (hopeless) {
-      giveUp(p, UnservedCause.OVERLOAD);
-    } else if (pending.size() + openElsewhere > places) {
-      giveUp(p, UnservedCause.TOO_MANY_OPEN);
-    } else if (!dispatch(now, p)) {
-      giveUp(p, noServer(now));
-    }
-  }
-
-  private UnservedCause noServer(double now) {
+      assignOwners(now, call);
+    }
+    // Rule 1: the request is answered at its deadline at the latest.
+    actions.setTimer(call.serial, Math.max(0, call.deadline - now));
+    // By Little's law, more requests in flight than are answered within the aim make every answer
+    // late, so further ones are refused. Fetches have their own window and don't count; one request
+    // for each server is always admitted.
+    int active = inFlight - guard.fetchesInFlight;
+    double openLimit = settings.limits().maxOpen() * (request.write() ? 1 : MAX_READS_PART);
+    boolean exceedsAim = active > caches.size() && active > rates.answerRate * type.aim();
+    if (exceedsAim) {
+      giveUp(call, UnservedCause.OVERLOAD);
+    } else if (pendingById.size() + openInOtherProcess > openLimit) {
+      giveUp(call, UnservedCause.TOO_MANY_OPEN);
+    } else if (!dispatch(now, call)) {
+      giveUp(call, noServerCause(now));
+    }
+  }
+
+  private UnservedCause noServerCause(double now) {
     return listExpired(now) ? UnservedCause.LIST_EXPIRED : UnservedCause.NO_SERVER;
   }
 
   /**
-   * Gives a hot key several homes, the first owners of its own sequence. Guards against the key
-   * that outgrows one server while each balancer sees too little of it to reach a cap: a key's
-   * share of this balancer's requests is about its share of everybody's. Where crossing zones is
-   * priced, a key that its zone asks for often, and any write, goes to owners in the own zone.
+   * Gives a hot key several owners, the first ones of its hash sequence. A key can outgrow one
+   * server while each balancer sees too few of its requests to reach a cap; its share of this
+   * balancer's requests approximates its share of all requests. If crossing zones has a price,
+   * writes and keys that this zone requests often go to owners in this zone.
    */
-  private void shareOut(double now, PendingRequest p) {
-    boolean write = p.request.write();
-    double seen = write ? 0 : heat.seen(now, p.keyHash);
-    double sure = seen - Math.sqrt(seen); // One sighting is chance: of few, each key has a share.
+  private void assignOwners(double now, PendingRequest call) {
+    boolean write = call.request.write();
+    double estimate = write ? 0 : keyFrequencies.recordAndEstimate(now, call.keyHash);
+    double lowerBound = estimate - Math.sqrt(estimate); // Few requests are mostly noise.
     double zones = Math.max(1, settings.zones().size());
-    double seenInZone = seen + sure * (Math.max(1, settings.instances() / zones) - 1);
+    double seenInZone = estimate + lowerBound * (Math.max(1, settings.instances() / zones) - 1);
     boolean local =
         settings.prices().crossZone() > 0
-            && (write || seenInZone * settings.prices().crossZone() >= LOCAL_SIGHTINGS);
-    double share = sure / Math.max(heat.total, 50);
-    double servers = local ? ready.size() / zones : ready.size();
-    p.homes = (int) Math.max(1, Math.min(servers, Math.ceil(share * servers / HOT_SHARE)));
-    p.localJumps = local ? (int) (p.homes * zones * LOCAL_JUMPS) : 0;
-    p.firstHome = p.homes > 1 ? random.nextInt(p.homes) * (local ? (int) zones : 1) : 0;
+            && (write || seenInZone * settings.prices().crossZone() >= MIN_ZONE_COPY_SAVING);
+    double share = lowerBound / Math.max(keyFrequencies.total, 50);
+    double servers = local ? caches.size() / zones : caches.size();
+    call.owners = (int) Math.max(1, Math.min(servers, Math.ceil(share * servers / HOT_KEY_PART)));
+    call.zoneJumps = local ? (int) (call.owners * zones * JUMPS_PER_ZONE_AND_OWNER) : 0;
+    call.firstOwner = call.owners > 1 ? random.nextInt(call.owners) * (local ? (int) zones : 1) : 0;
   }
 
-  /** Sends an attempt by the ordinary path; false if no server may take it. */
-  private boolean dispatch(double now, PendingRequest p) {
-    ServerHealth target = choose(now, p);
+  /** Sends an attempt, or holds the request for a fetch; false if no server may receive it. */
+  private boolean dispatch(double now, PendingRequest call) {
+    ServerHealth target = chooseServer(now, call);
     if (target == null) {
       return false;
     }
-    if (!settings.cache().aside() && p.request.key() != null && !p.request.write()) {
-      long pair = OriginGuard.pair(p, target);
-      if (guard.expectsMiss(now, pair)) {
-        boolean patient = !p.impatient;
-        boolean follows = patient && guard.follow(pair, p);
-        if (follows || guard.full(now)) {
+    if (!settings.cache().aside() && call.request.key() != null && !call.request.write()) {
+      long pairHash = OriginGuard.pairHash(call, target);
+      if (guard.expectsMiss(now, pairHash)) {
+        boolean patient = !call.holdExpired;
+        boolean follows = patient && guard.joinFetch(pairHash, call);
+        if (follows || guard.isFull(now)) {
           if (!follows && patient) {
-            guard.park(p);
+            guard.park(call);
           }
           if (patient) {
-            hold(now, p);
+            hold(now, call);
           }
           return patient;
         }
-        guard.started(now, pair, p, singledOut(now, target));
+        guard.recordStart(now, pairHash, call, isOutlier(now, target));
       }
     }
-    send(now, p, target);
+    send(now, call, target);
     return true;
   }
 
-  /** Holds a request for a fetch, for at most half of the time in which its answer is wanted. */
-  private void hold(double now, PendingRequest p) {
-    p.waiting = true;
-    actions.wake(p.serial + HOLD, Math.max(0, p.arrived + p.type.aim() / 2 - now));
+  /** Holds a request until a fetch ends, but for no longer than half of its class's aim. */
+  private void hold(double now, PendingRequest call) {
+    call.held = true;
+    actions.setTimer(call.serial + HOLD_BIT, Math.max(0, call.arrived + call.type.aim() / 2 - now));
   }
 
-  private void send(double now, PendingRequest p, ServerHealth target) {
-    target.sent();
-    p.sent(target, now);
+  private void send(double now, PendingRequest call, ServerHealth target) {
+    target.recordSent();
+    call.recordSent(target, now);
     inFlight++;
-    actions.send(p.request.id(), target.id, 0);
+    actions.send(call.request.id(), target.id, 0);
   }
 
-  /** Once a second, the fleet's usual strain, how many fail, and the rates. */
-  private void everySecond(double now) {
-    if (rates.due(now)) {
-      // Shares are relative: what strains all servers alike moves no key.
-      greatestShare = Math.max(0.02, ranked(server -> server.share(now), 1));
-      usualStrain = ranked(server -> server.strain(now), 0.5);
-      guard.leastLosses = ranked(server -> server.fetchLosses, 0.25);
-      fewFailing = 3 * ready.stream().filter(s -> s.unserved > 1).count() < ready.size();
+  /** Recomputes, once a second, the rates and the figures of the fleet. */
+  private void updateEachSecond(double now) {
+    if (rates.isDue(now)) {
+      // Shares are relative: what saturates all servers alike moves no key.
+      largestShare = Math.max(0.02, quantile(server -> server.keyShare(now), 1));
+      medianSaturation = quantile(server -> server.saturation(now), 0.5);
+      guard.bestFailureRate = quantile(server -> server.fetchFailureRate, 0.25);
+      fewFail = 3 * caches.stream().filter(s -> s.consecutiveUnserved > 1).count() < caches.size();
       double weight = 0;
-      for (ServerHealth server : ready) {
-        weight += server.warmth(now) >= 1 && !server.suspect() ? weight(server) : 0;
+      for (ServerHealth server : caches) {
+        weight += server.warmth(now) >= 1 && !server.isSuspect() ? weight(server) : 0;
       }
-      rates.average(now, weight, !listExpired(now));
-      guard.floor = FETCH_FLOOR * rates.requested;
+      rates.updateAverages(now, weight, !listExpired(now));
+      guard.minFetchRate = MIN_FETCHES_PER_REQUEST * rates.requestRate;
     }
   }
 
-  /** The first owner of h(key, 0), h(key, 1), ... that is below its cap. */
-  private ServerHealth choose(double now, PendingRequest p) {
+  /** Returns the first of h(key, 0), h(key, 1), ... below its cap, else a fallback or null. */
+  private ServerHealth chooseServer(double now, PendingRequest call) {
     if (listExpired(now)) {
       return null;
     }
-    if (settings.cache().aside() && p.request.write()) {
-      return leastLoaded(now, p, origins);
+    if (settings.cache().aside() && call.request.write()) {
+      return leastLoaded(now, call, origins);
     }
-    ServerHealth spare = null;
-    double spareFill = Double.POSITIVE_INFINITY;
-    for (int jump = 0; jump < p.localJumps + MAX_JUMPS; jump++) {
-      ServerHealth server = slots.owner(p.keyHash, p.hashAttempt(jump));
+    ServerHealth leastFull = null;
+    double leastFill = Double.POSITIVE_INFINITY;
+    for (int jump = 0; jump < call.zoneJumps + MAX_JUMPS; jump++) {
+      ServerHealth server = slots.owner(call.keyHash, call.hashNumber(jump));
       if (server == null) {
         return null;
       }
-      if (jump < p.localJumps && !server.entry.zone().equals(settings.zone())) {
+      if (jump < call.zoneJumps && !server.entry.zone().equals(settings.zone())) {
         continue;
       }
-      if (!p.maySend(server, now, settings.limits()) || p.tried(server)) {
+      if (!call.maySend(server, now, settings.limits()) || call.attemptsUsedUp(server)) {
         continue;
       }
-      if (server.suspect()) {
-        if (jump <= p.localJumps
-            && p.type.effect() == Settings.Effect.SAFE
-            && server.trialDue(now)) {
+      if (server.isSuspect()) {
+        if (jump <= call.zoneJumps
+            && call.type.effect() == Settings.Effect.SAFE
+            && server.isTrialDue(now)) {
           return server;
         }
         continue;
       }
-      if (coldFull(now, server) || !server.keeps(now, p.keyHash, greatestShare)) {
+      if (isColdAndFull(now, server) || !server.keepsKey(now, call.keyHash, largestShare)) {
         continue;
       }
       int cap = LoadCap.cap(inFlight + 1, weight(server), totalWeight, settings);
@@ -300,28 +301,28 @@
         return server;
       }
       double fill = (double) server.inFlight / cap;
-      if (fill < spareFill && server.warmth(now) >= 1) {
-        spare = server;
-        spareFill = fill;
+      if (fill < leastFill && server.warmth(now) >= 1) {
+        leastFull = server;
+        leastFill = fill;
       }
     }
-    return spare != null ? spare : leastLoaded(now, p, ready);
+    return leastFull != null ? leastFull : leastLoaded(now, call, caches);
   }
 
-  private boolean coldFull(double now, ServerHealth server) {
-    return server.warmth(now) < 1 && !server.coldRoom(now, rates.warm * weight(server));
+  private boolean isColdAndFull(double now, ServerHealth server) {
+    return server.warmth(now) < 1 && !server.admitsWhileCold(now, rates.warmRate * weight(server));
   }
 
-  /** The defined end where every jump failed: the emptiest server that may take the request. */
-  private ServerHealth leastLoaded(double now, PendingRequest p, List<ServerHealth> among) {
+  /** Returns the server with the fewest requests in flight that may receive this one, or null. */
+  private ServerHealth leastLoaded(double now, PendingRequest call, List<ServerHealth> candidates) {
     if (listExpired(now)) {
       return null;
     }
     ServerHealth best = null;
-    for (ServerHealth server : among) {
-      if (!p.maySend(server, now, settings.limits())
-          || (server.suspect() && !server.trialDue(now))
-          || coldFull(now, server)) {
+    for (ServerHealth server : candidates) {
+      if (!call.maySend(server, now, settings.limits())
+          || (server.isSuspect() && !server.isTrialDue(now))
+          || isColdAndFull(now, server)) {
         continue;
       }
       best = best == null || server.inFlight < best.inFlight ? server : best;
@@ -329,249 +330,251 @@
     return best;
   }
 
-  /** Answers a request that has no attempt out and gets no other. */
-  private void giveUp(PendingRequest p, UnservedCause cause) {
-    if (!p.answered && p.out == 0 && !p.waiting) {
-      answer(p, cause);
+  /** Answers a request that gets no further attempt, unless one is in flight or it is held. */
+  private void giveUp(PendingRequest call, UnservedCause cause) {
+    if (!call.answered && call.inFlight == 0 && !call.held) {
+      answerUnserved(call, cause);
     }
   }
 
-  /** The final answer of a request that no server answered. */
-  private void answer(PendingRequest p, UnservedCause cause) {
-    unserved.merge(cause, 1L, Long::sum);
-    if (p.out == 0 && p.mayRefuse()) {
-      // Spread out over an aim, lest those that were refused together come back together.
-      boolean advises = settings.limits().advisesRetry();
-      double later = advises ? p.type.aim() * (0.5 + random.nextDouble()) : 0;
-      actions.refuse(p.request.id(), Math.min(settings.limits().maxRetryAfter(), later));
+  /** Gives the final answer to a request that no server answered. */
+  private void answerUnserved(PendingRequest call, UnservedCause cause) {
+    unservedByCause.merge(cause, 1L, Long::sum);
+    if (call.inFlight == 0 && call.mayRefuse()) {
+      // Spread over an aim, so that clients that were refused together don't retry together.
+      boolean advisesRetry = settings.limits().advisesRetryAfter();
+      double retryAfter = advisesRetry ? call.type.aim() * (0.5 + random.nextDouble()) : 0;
+      actions.refuse(call.request.id(), Math.min(settings.limits().maxRetryAfter(), retryAfter));
     } else {
-      actions.fail(p.request.id());
+      actions.fail(call.request.id());
     }
-    over(p);
+    finish(call);
   }
 
-  /** The request has its final answer; its attempts may still be out. */
-  private void over(PendingRequest p) {
-    p.answered = true;
-    bySerial.remove(p.serial);
-    actions.cancelWake(p.serial);
-    actions.cancelWake(p.serial + HOLD);
-    if (p.out == 0) {
-      pending.remove(p.request.id());
+  /** Marks a request as answered; its attempts may still be in flight. */
+  private void finish(PendingRequest call) {
+    call.answered = true;
+    pendingBySerial.remove(call.serial);
+    actions.cancelTimer(call.serial);
+    actions.cancelTimer(call.serial + HOLD_BIT);
+    if (call.inFlight == 0) {
+      pendingById.remove(call.request.id());
     }
   }
 
-  /** A streamed answer has begun: it belongs to the client and has no deadline any more. */
-  public void streamStarted(double now, String requestId, int attempt) {
-    PendingRequest p = pending.get(requestId);
-    if (p != null && p.isOut(attempt)) {
-      p.streaming = true;
+  /** Records that a streamed answer has begun; the request has no deadline from now on. */
+  public void onStreamStarted(double now, String requestId, int attempt) {
+    PendingRequest call = pendingById.get(requestId);
+    if (call != null && call.isInFlight(attempt)) {
+      call.streaming = true;
     }
   }
 
-  /** An attempt has ended. */
-  public void outcome(double now, Outcome outcome) {
-    PendingRequest p = pending.get(outcome.requestId());
-    if (p == null || !p.ended(outcome.attempt(), outcome.result().provesNotRun())) {
+  /** Handles the end of an attempt. */
+  public void onOutcome(double now, Outcome outcome) {
+    PendingRequest call = pendingById.get(outcome.requestId());
+    if (call == null || !call.recordEnd(outcome.attempt(), outcome.result().provesNotRun())) {
       return;
     }
     inFlight--;
-    ServerHealth server = p.tries.get(outcome.attempt()).server;
-    p.tries.get(outcome.attempt()).excused = outcome.result().unreachable() && server.lively(now);
-    thrift(now, server, server.ended(now, outcome, settings.limits().idleTimeout(), fewFailing));
+    ServerHealth server = call.attempts.get(outcome.attempt()).server;
+    call.attempts.get(outcome.attempt()).connectionFault =
+        outcome.result().connectionLost() && server.answeredRecently(now);
+    closeIfUnused(
+        now, server, server.recordEnd(now, outcome, settings.limits().idleTimeout(), fewFail));
     if (outcome.result() == Outcome.Result.OK) {
-      retryTokens = Math.min(RETRY_BURST, retryTokens + RETRY_SHARE);
-      rates.answer(server.warmth(now) >= 1);
+      savedRetries = Math.min(MAX_SAVED_RETRIES, savedRetries + RETRIES_PER_ANSWER);
+      rates.countAnswer(server.warmth(now) >= 1);
     }
-    // First: a retry would take the place of the fetch that has ended, and keep its key shut.
-    learn(now, p, server, outcome);
-    if (outcome.ended() || outcome.result() == Outcome.Result.OK || p.answered) {
-      over(p);
-    } else if (p.out == 0) {
-      next(now, p, outcome);
+    // Before any retry, which would overwrite the ended fetch and leave its followers waiting.
+    recordResult(now, call, server, outcome);
+    if (outcome.requestEnded() || outcome.result() == Outcome.Result.OK || call.answered) {
+      finish(call);
+    } else if (call.inFlight == 0) {
+      retryOrAnswer(now, call, outcome);
     }
   }
 
   /**
-   * Closes a connection that is not in use, while servers that run refuse new ones. Guards against
-   * more balancers than a server takes connections, each of which keeps one that it hardly uses.
+   * Closes unused connections for some time after a running server has refused one: if there are
+   * more balancers than a server accepts connections, each would keep one that it hardly uses.
    */
-  private void thrift(double now, ServerHealth server, boolean refused) {
+  private void closeIfUnused(double now, ServerHealth server, boolean refused) {
     if (refused) {
-      thriftUntil = now + THRIFT;
+      closeAfterUseUntil = now + CLOSE_AFTER_USE_SECONDS;
     }
-    if (now < thriftUntil && server.inFlight == 0) {
+    if (now < closeAfterUseUntil && server.inFlight == 0) {
       actions.closeIdle(server.id);
-      server.connectedAt = Double.NEGATIVE_INFINITY;
+      server.connectionUsedAt = Double.NEGATIVE_INFINITY;
     }
   }
 
   /**
-   * What an outcome says of its server's strain; fetches say more of the origin. Strain is set
-   * against the fleet's, so that a slow origin, which makes hits wait behind fetches everywhere,
-   * moves no keys to caches lacking them.
+   * Updates the server's saturation. Fetch times are left out: they depend on the origin. The
+   * threshold follows the fleet's median: a slow origin delays hits at all servers, and must not
+   * move keys to caches that lack them.
    */
-  private void judge(double now, PendingRequest p, ServerHealth server, Outcome outcome) {
-    boolean fetch = outcome.attempt() == p.fetchAttempt || outcome.note().missed();
-    // A hung server has no hits to tell of it: while fetches fare well elsewhere it is blamed.
-    boolean hung =
+  private void recordLoad(double now, PendingRequest call, ServerHealth server, Outcome outcome) {
+    boolean fetch = outcome.attempt() == call.fetchAttempt || outcome.note().isMiss();
+    // A hung server has no hits to measure; while fetches succeed elsewhere, it is at fault.
+    boolean hungServer =
         outcome.result() == Outcome.Result.TIMEOUT
-            && (!guard.troubled() || singledOut(now, server));
-    double fair = fairStrain();
+            && (!guard.isFailing() || isOutlier(now, server));
+    double limit = saturationThreshold();
     if (outcome.load() != null && outcome.load().utilization() >= 0) {
-      server.strained(now, outcome.load().utilization() / FULL_CORES, fair);
+      server.addSample(now, outcome.load().utilization() / FULL_UTILIZATION, limit);
     }
-    if (p.request.write() || fetch && !hung && outcome.note() != Outcome.Note.HIT) {
+    if (call.request.write() || fetch && !hungServer && outcome.note() != Outcome.Note.HIT) {
       return;
     }
     if (outcome.result() == Outcome.Result.OK) {
-      server.strained(now, outcome.elapsed() / (FAIR_PART_OF_AIM * p.type.aim()), fair);
+      server.addSample(now, outcome.elapsedSeconds() / (HIT_PART_OF_AIM * call.type.aim()), limit);
     } else if (outcome.result() == Outcome.Result.TIMEOUT
         || outcome.result() == Outcome.Result.FULL) {
-      server.strained(now, 2, fair);
+      server.addSample(now, 2, limit);
     }
   }
 
-  /** What an outcome says of the caches and the origin, and who may go on because of it. */
-  private void learn(double now, PendingRequest p, ServerHealth server, Outcome outcome) {
-    judge(now, p, server, outcome);
+  /** Updates server and origin statistics, and resumes requests that were held for a fetch. */
+  private void recordResult(double now, PendingRequest call, ServerHealth server, Outcome outcome) {
+    recordLoad(now, call, server, outcome);
     boolean ok = outcome.result() == Outcome.Result.OK;
-    if (ok && !p.request.write()) {
-      guard.answered(now, OriginGuard.pair(p, server), outcome.note());
+    if (ok && !call.request.write()) {
+      guard.recordAnswer(now, OriginGuard.pairHash(call, server), outcome.note());
     }
-    if (outcome.attempt() == p.fetchAttempt) {
-      boolean good = ok && outcome.elapsed() <= p.type.aim();
+    if (outcome.attempt() == call.fetchAttempt) {
+      boolean inTime = ok && outcome.elapsedSeconds() <= call.type.aim();
       boolean failed = outcome.blamesServer() || outcome.result() == Outcome.Result.ERROR;
-      failed |= ok && !good && outcome.note() != Outcome.Note.HIT;
-      // The origin's losses are those of all servers at most one loss behind the best quarter: one
-      // sees too few. Guards against servers that lose fetches for a cause of their own (bad links,
-      // full queues), for which the window would shut all others off.
-      boolean tells = server.fetchLosses <= guard.leastLosses + ServerHealth.ONE_LOSS;
-      tells &= outcome.result() != Outcome.Result.FULL;
-      server.fetched(good, failed);
-      List<PendingRequest> followers = guard.over(now, p, good, failed, tells);
+      failed |= ok && !inTime && outcome.note() != Outcome.Note.HIT;
+      // One server sees too few fetches to judge the origin, so all count that are at most one
+      // failure behind the best quarter. Servers that fail fetches for a cause of their own (bad
+      // links, full queues) must not close the window for the others.
+      boolean counts = server.fetchFailureRate <= guard.bestFailureRate + ServerHealth.FETCH_WEIGHT;
+      counts &= outcome.result() != Outcome.Result.FULL;
+      server.recordFetch(inTime, failed);
+      List<PendingRequest> followers = guard.recordEnd(now, call, inTime, failed, counts);
       for (PendingRequest follower : followers) {
-        if (follower.waiting && !follower.answered) {
+        if (follower.held && !follower.answered) {
           resume(now, follower);
         }
       }
     }
-    for (PendingRequest next = guard.unpark(now); next != null; next = guard.unpark(now)) {
+    for (PendingRequest next = guard.nextParked(now); next != null; next = guard.nextParked(now)) {
       resume(now, next);
     }
   }
 
-  /** A figure of the ready server at this part of their order by it; 0 if there is none. */
-  private double ranked(ToDoubleFunction<ServerHealth> figure, double part) {
-    double[] all = ready.stream().mapToDouble(figure).sorted().toArray();
-    return all.length == 0 ? 0 : all[(int) Math.min(all.length - 1, part * all.length)];
+  /** Returns this quantile of a figure over the ready servers; 0 if there are none. */
+  private double quantile(ToDoubleFunction<ServerHealth> figure, double quantile) {
+    double[] all = caches.stream().mapToDouble(figure).sorted().toArray();
+    return all.length == 0 ? 0 : all[(int) Math.min(all.length - 1, quantile * all.length)];
   }
 
-  /** Whether a server is strained beyond the others, so that the cause is its own. */
-  private boolean singledOut(double now, ServerHealth server) {
-    return server.strain(now) > fairStrain()
-        || (fewFailing && server.unserved >= ServerHealth.UNSERVED_AFTER - 1);
+  /** Returns whether a server does worse than the others, so that the fault is its own. */
+  private boolean isOutlier(double now, ServerHealth server) {
+    return server.saturation(now) > saturationThreshold()
+        || (fewFail && server.consecutiveUnserved >= ServerHealth.SUSPECT_AFTER_UNSERVED - 1);
   }
 
-  private double fairStrain() {
-    return Math.max(1, 1.5 * usualStrain);
+  private double saturationThreshold() {
+    return Math.max(1, 1.5 * medianSaturation);
   }
 
-  private void resume(double now, PendingRequest p) {
-    p.waiting = false;
-    if (!dispatch(now, p)) {
-      giveUp(p, noServer(now));
+  private void resume(double now, PendingRequest call) {
+    call.held = false;
+    if (!dispatch(now, call)) {
+      giveUp(call, noServerCause(now));
     }
   }
 
-  private void next(double now, PendingRequest p, Outcome outcome) {
-    if (now >= p.deadline - settings.tick()) {
-      answer(p, UnservedCause.TIME_UP);
+  private void retryOrAnswer(double now, PendingRequest call, Outcome outcome) {
+    if (now >= call.deadline - settings.tickSeconds()) {
+      answerUnserved(call, UnservedCause.TIME_UP);
       return;
     }
-    UnservedCause cause = noServer(now);
-    // Where one server turns away what the others serve, retries multiply nothing.
-    boolean ownTrouble =
-        p.tries.get(outcome.attempt()).server.fetchLosses > OriginGuard.FAIR_LOSSES;
-    boolean free =
-        outcome.result().unreachable()
-            || (outcome.result() == Outcome.Result.FULL && ownTrouble && !guard.troubled());
+    UnservedCause cause = noServerCause(now);
+    // If one server rejects what the others serve, retries don't multiply the load.
+    boolean ownFault =
+        call.attempts.get(outcome.attempt()).server.fetchFailureRate > OriginGuard.MAX_FAILURE_RATE;
+    boolean costsNoToken =
+        outcome.result().connectionLost()
+            || (outcome.result() == Outcome.Result.FULL && ownFault && !guard.isFailing());
     if (outcome.result() == Outcome.Result.NOT_STORED) {
-      ServerHealth origin = leastLoaded(now, p, origins);
+      ServerHealth origin = leastLoaded(now, call, origins);
       if (origin != null) {
-        send(now, p, origin);
+        send(now, call, origin);
         return;
       }
-    } else if (free || (retryTokens >= 1 && !guard.troubled())) {
-      // Not while fetches fail: a retry would be one more of them.
-      retryTokens -= free ? 0 : 1;
-      if (dispatch(now, p)) {
+    } else if (costsNoToken || (savedRetries >= 1 && !guard.isFailing())) {
+      // No retry while fetches fail: it would be one more fetch.
+      savedRetries -= costsNoToken ? 0 : 1;
+      if (dispatch(now, call)) {
         return;
       }
     } else {
       cause = UnservedCause.NO_RETRY;
     }
-    giveUp(p, cause);
+    giveUp(call, cause);
   }
 
-  /** The client has left; nothing is owed any more. */
-  public void clientGone(double now, String requestId) {
-    PendingRequest p = pending.get(requestId);
-    if (p == null || p.answered) {
+  /** Handles the client's disconnect: the request needs no answer any more. */
+  public void onClientGone(double now, String requestId) {
+    PendingRequest call = pendingById.get(requestId);
+    if (call == null || call.answered) {
       return;
     }
-    if (settings.limits().mayCancel() && !p.streaming) {
-      for (int i = 0; i < p.tries.size(); i++) {
-        if (p.isOut(i)) {
+    if (settings.limits().mayCancel() && !call.streaming) {
+      for (int i = 0; i < call.attempts.size(); i++) {
+        if (call.isInFlight(i)) {
           actions.cancel(requestId, i);
         }
       }
     }
-    over(p);
+    finish(call);
   }
 
-  /** A timer set earlier came due. */
-  public void timer(double now, long token) {
-    if (token == FEED_TOKEN) {
-      feed.timer(now);
+  /** Handles a timer that was set earlier. */
+  public void onTimer(double now, long token) {
+    if (token == FEED_TIMER_TOKEN) {
+      feed.onTimer(now);
       return;
     }
-    PendingRequest p = bySerial.get(token & ~HOLD);
-    if (p == null || p.answered || p.streaming) {
+    PendingRequest call = pendingBySerial.get(token & ~HOLD_BIT);
+    if (call == null || call.answered || call.streaming) {
       return;
     }
-    if ((token & HOLD) != 0) {
-      p.impatient = true;
-      if (p.waiting) {
-        resume(now, p);
+    if ((token & HOLD_BIT) != 0) {
+      call.holdExpired = true;
+      if (call.held) {
+        resume(now, call);
       }
       return;
     }
-    answer(p, UnservedCause.TIME_UP);
+    answerUnserved(call, UnservedCause.TIME_UP);
   }
 
-  /** Another process of this instance has so many requests open: they count here as well. */
-  public void share(int open) {
-    openElsewhere = open;
+  /** Sets how many requests another process of this instance has open; they count here too. */
+  public void setOpenInOtherProcess(int open) {
+    openInOtherProcess = open;
   }
 
-  /** How many requests were answered here for each cause since the start. */
-  public Map<UnservedCause, Long> unserved() {
-    return unserved;
+  /** Returns how many requests were answered for each cause since the start. */
+  public Map<UnservedCause, Long> unservedByCause() {
+    return unservedByCause;
   }
 
-  /** What a successor had better know from the start. */
-  public Learnt learnt(double now) {
+  /** Returns what a successor process should know from its start. */
+  public LearnedState learnedState(double now) {
     Map<Long, Double> shares = new HashMap<>();
-    ready.forEach(server -> shares.put(server.id, server.share(now)));
-    return new Learnt(rates.warm, rates.answered, rates.requested, shares);
+    caches.forEach(server -> shares.put(server.id, server.keyShare(now)));
+    return new LearnedState(rates.warmRate, rates.answerRate, rates.requestRate, shares);
   }
 
-  /** Takes over what a predecessor has learnt, once the list is known. */
-  public void inherit(Learnt learnt) {
-    rates.warm = learnt.warmRate();
-    rates.answered = learnt.answerRate();
-    rates.requested = learnt.requestRate();
-    ready.forEach(server -> server.share = learnt.shares().getOrDefault(server.id, 1.0));
+  /** Restores what a predecessor has learned; called once the list is known. */
+  public void restore(LearnedState state) {
+    rates.warmRate = state.warmRate();
+    rates.answerRate = state.answerRate();
+    rates.requestRate = state.requestRate();
+    caches.forEach(server -> server.keyShare = state.keyShares().getOrDefault(server.id, 1.0));
   }
 }
--- a/src/main/java/beamspread/policy/ListFreshness.java
+++ b/src/main/java/beamspread/policy/ListFreshness.java
@@ -4,82 +4,85 @@
 import beamspread.model.Settings;
 
 /**
- * Until when the list of servers may be acted on without a word from its service.
+ * Determines how long the list of servers stays usable without a confirmation by discovery.
  *
- * <p>A change counts as told some seconds after the service had it and could be reached, whether or
- * not it arrived, and requests may go to a server that has left for the grace more. A list that was
- * not confirmed for so long may name servers that nothing may be sent to, and nothing here tells
- * which: it has expired, and no request goes out by it. A service that can't be reached has nothing
- * to tell, so the time counts anew while all that is known of it is that it can't be reached.
+ * <p>A change counts as delivered some seconds after discovery had it and was reachable, whether or
+ * not it arrived; for the drain grace after that, requests may still be sent to a server that has
+ * left. A list that was not confirmed for longer may contain servers to which nothing may be sent,
+ * without any sign which ones: it has expired, and no request is sent by it. While discovery is
+ * known only to be unreachable, no change counts as delivered, so the time starts again.
  *
  * <p>Times are seconds of the balancer's clock.
  */
 final class ListFreshness {
-  /** When a change counts as told, after the service had it and could be reached. */
-  private static final double TOLD_AFTER = 6;
+  /** A change counts as delivered this long after discovery had it and was reachable. */
+  private static final double DELIVERY_SECONDS = 6;
 
-  /** The same from when the service has moved, until it has confirmed the list there. */
-  private static final double TOLD_AFTER_MOVE = 4;
+  /** The same after discovery has moved, until it confirms the list at its new address. */
+  private static final double DELIVERY_AFTER_MOVE_SECONDS = 4;
 
   /**
-   * The part of the grace that is left to the way from a decision to the socket. Guards against a
-   * process that is held up between reading its clock and writing, for up to 0.15 s.
+   * Part of the drain grace kept back for the time from a decision to the write to the socket: a
+   * process may be delayed by up to 0.15 s between reading its clock and writing.
    */
-  private static final double RESERVE = 0.25;
+  private static final double SEND_DELAY_RESERVE_SECONDS = 0.25;
 
   private final boolean pushed;
   private final double usableGrace;
 
-  /** From when on changes may be missed; positive infinity while no evidence is kept at all. */
-  private double missesSince = Double.POSITIVE_INFINITY;
+  /** Changes since this time may be missing; positive infinity before the first evidence. */
+  private double missingChangesSince = Double.POSITIVE_INFINITY;
 
-  private double toldAfter = TOLD_AFTER;
+  private double deliverySeconds = DELIVERY_SECONDS;
 
-  /** Whether the service could be reached since the last confirmation, without giving a list. */
+  /** Whether discovery was reachable since the last confirmation without giving a list. */
   private boolean reached;
 
   ListFreshness(Settings settings) {
-    pushed = !settings.asksForList();
-    usableGrace = Math.max(0, settings.contract().drainGrace() - RESERVE);
+    pushed = !settings.callsForList();
+    usableGrace = Math.max(0, settings.contract().drainGrace() - SEND_DELAY_RESERVE_SECONDS);
   }
 
-  /** Takes in what is known of the list's service at this time. */
-  void evidence(double at, ListEvidence evidence) {
+  /** Records evidence about discovery at this time. */
+  void record(double time, ListEvidence evidence) {
     switch (evidence) {
-      case STARTED -> missesSince = at;
+      case STARTED -> missingChangesSince = time;
       case CONFIRMED -> {
-        missesSince = Math.max(at, Double.isInfinite(missesSince) ? at : missesSince);
-        toldAfter = TOLD_AFTER;
+        missingChangesSince =
+            Math.max(time, Double.isInfinite(missingChangesSince) ? time : missingChangesSince);
+        deliverySeconds = DELIVERY_SECONDS;
         reached = false;
       }
       case REACHED -> reached = true;
       case UNREACHABLE -> {
-        // What changed before the service was seen to answer may have been told long ago.
+        // If it was reachable before, changes up to then count as delivered, so time runs on.
         if (!reached) {
-          missesSince = Math.max(at, missesSince);
+          missingChangesSince = Math.max(time, missingChangesSince);
         }
       }
       case MOVED -> {
-        missesSince = Math.min(missesSince + toldAfter, at + TOLD_AFTER_MOVE) - TOLD_AFTER_MOVE;
-        toldAfter = TOLD_AFTER_MOVE;
+        missingChangesSince =
+            Math.min(missingChangesSince + deliverySeconds, time + DELIVERY_AFTER_MOVE_SECONDS)
+                - DELIVERY_AFTER_MOVE_SECONDS;
+        deliverySeconds = DELIVERY_AFTER_MOVE_SECONDS;
         reached = false;
       }
     }
   }
 
-  /** When the list expires if nothing more is heard; positive infinity for never. */
+  /** Returns when the list expires without further evidence; positive infinity for never. */
   double expiresAt() {
-    // A pushed list is with the agent beside this process, and what that has counts at once.
-    return missesSince + (pushed && reached ? 0 : toldAfter) + usableGrace;
+    // A pushed list comes from the agent on this machine: what it has counts as delivered.
+    return missingChangesSince + (pushed && reached ? 0 : deliverySeconds) + usableGrace;
   }
 
-  /** Whether no request may go out by the list. */
-  boolean expired(double now) {
+  /** Returns whether the list has expired, so that no request may be sent by it. */
+  boolean isExpired(double now) {
     return now >= expiresAt();
   }
 
-  /** From when on changes may be missed. */
-  double missesSince() {
-    return missesSince;
+  /** Returns the time since which changes may be missing. */
+  double missingChangesSince() {
+    return missingChangesSince;
   }
 }
--- a/src/main/java/beamspread/policy/MembershipFeed.java
+++ b/src/main/java/beamspread/policy/MembershipFeed.java
@@ -8,54 +8,54 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 
-/** Follows the list of servers and keeps asking for it where it must be asked. */
+/** Keeps the list of servers, and calls discovery for it if the list is not pushed. */
 final class MembershipFeed {
   /**
-   * Longest pause after a failed call, and longest wait for one's end, in seconds: a change counts
-   * as told 6 s after it could be asked for, whatever has failed before (design 0012).
+   * Longest pause after a failed call, and longest wait for the end of a call: a change counts as
+   * delivered 6 s after discovery was reachable, whatever failed before (design 0012).
    */
-  private static final double LONGEST_PAUSE = 1;
+  private static final double MAX_PAUSE_SECONDS = 1;
 
-  private static final double LONGEST_CALL = 5;
+  private static final double MAX_CALL_SECONDS = 5;
 
-  /** Seconds by which each instance spreads the first calls of started ones, and the most of it. */
-  private static final double START_SPREAD_EACH = 0.02;
+  /** Time per instance over which the first calls after a start are spread, and its maximum. */
+  private static final double START_SPREAD_SECONDS_PER_INSTANCE = 0.02;
 
-  private static final double LONGEST_START_SPREAD = 2;
+  private static final double MAX_START_SPREAD_SECONDS = 2;
 
-  /** The same for calls after subscriptions that were lost together, whose lists are current. */
-  private static final double LOST_SPREAD_EACH = 0.04;
+  /** The same for calls after subscriptions were lost together, while the lists are current. */
+  private static final double RESUBSCRIBE_SPREAD_SECONDS_PER_INSTANCE = 0.04;
 
-  private static final double LONGEST_LOST_SPREAD = 4;
+  private static final double MAX_RESUBSCRIBE_SPREAD_SECONDS = 4;
 
-  /** A subscription that was lost is asked for again so long after changes may be missed. */
-  private static final double ASKED_AGAIN_AFTER = 4;
+  /** A lost subscription is renewed within this time after changes may be missing. */
+  private static final double RESUBSCRIBE_WITHIN_SECONDS = 4;
 
   /**
-   * Pauses after a call that the service had no time for, in seconds: the first one for each
-   * instance of the fleet and its bounds, how it grows, the longest, and its least part. A service
-   * that takes calls in turn works on those that have run out of time, too: where they come again
-   * before it is through, it serves nobody, for as long as they do.
+   * Pauses after a call that discovery was too busy to answer: the first pause per instance of the
+   * fleet and its bounds, its growth factor, the longest pause, and the part that jitter leaves. A
+   * service that answers calls in order also works on those that have timed out; if these are
+   * repeated before it has caught up, it serves no one for as long as that goes on.
    */
-  private static final double OVERLOAD_EACH = 0.04;
+  private static final double OVERLOAD_PAUSE_SECONDS_PER_INSTANCE = 0.04;
 
-  private static final double OVERLOAD_LEAST = 1;
-  private static final double OVERLOAD_MOST = 4;
-  private static final double OVERLOAD_GROWTH = 1.6;
-  private static final double LONGEST_OVERLOAD_PAUSE = 6;
+  private static final double MIN_FIRST_OVERLOAD_PAUSE_SECONDS = 1;
+  private static final double MAX_FIRST_OVERLOAD_PAUSE_SECONDS = 4;
+  private static final double OVERLOAD_PAUSE_GROWTH = 1.6;
+  private static final double MAX_OVERLOAD_PAUSE_SECONDS = 6;
 
-  private static final double OVERLOAD_LEAST_PART = 0.5;
+  private static final double MIN_OVERLOAD_PAUSE_PART = 0.5;
 
   private final Settings settings;
   private final Actions actions;
   private final SplittableRandom random;
   private final ListFreshness freshness;
   private final TreeMap<Long, ServerHealth> servers = new TreeMap<>();
-  private boolean launched;
+  private boolean started;
   private boolean subscribed;
-  private double callAt = Double.POSITIVE_INFINITY;
-  private int failures;
-  private int overloads;
+  private double nextCallAt = Double.POSITIVE_INFINITY;
+  private int consecutiveFailures;
+  private int consecutiveOverloads;
 
   MembershipFeed(Settings settings, Actions actions, SplittableRandom random) {
     this.settings = settings;
@@ -64,106 +64,114 @@
     this.freshness = new ListFreshness(settings);
   }
 
-  /** Until when the list may be acted on. */
+  /** Returns the state that determines when the list expires. */
   ListFreshness freshness() {
     return freshness;
   }
 
-  /** Takes in what is known of the list's service. */
-  void evidence(double at, ListEvidence evidence) {
-    freshness.evidence(at, evidence);
+  /** Records evidence about discovery at this time. */
+  void recordEvidence(double time, ListEvidence evidence) {
+    freshness.record(time, evidence);
   }
 
-  /** All servers of the list that are ready, by id. */
-  List<ServerHealth> ready() {
-    return servers.values().stream().filter(ServerHealth::ready).toList();
+  /** Returns all ready servers of the list, ordered by id. */
+  List<ServerHealth> readyServers() {
+    return servers.values().stream().filter(ServerHealth::isReady).toList();
   }
 
-  /** Takes news of the list in. */
+  /** Applies an update of the list and schedules the next call. */
   void apply(double now, MembershipUpdate update) {
     switch (update.kind()) {
-      case FAILED -> callIn(now, pauseAfterFailure(now));
-      case OVERLOADED -> callIn(now, pauseAfterOverload());
-      case FULL, REMEMBERED, CHANGES, BY_HAND -> {
-        if (update.kind().whole()) {
-          servers.keySet().retainAll(update.ids());
+      case FAILED -> scheduleCall(now, pauseAfterFailure(now));
+      case OVERLOADED -> scheduleCall(now, pauseAfterOverload());
+      case FULL, CACHED, CHANGES, OPERATOR -> {
+        if (update.kind().isFullList()) {
+          servers.keySet().retainAll(update.serverIds());
         }
         for (ServerEntry entry : update.entries()) {
-          put(now, entry);
+          applyEntry(now, entry);
         }
       }
     }
-    if (update.kind().answers()) {
+    if (update.kind().isAnswer()) {
       subscribed = true;
-      failures = 0;
-      overloads = 0;
-      callAt = Double.POSITIVE_INFINITY;
+      consecutiveFailures = 0;
+      consecutiveOverloads = 0;
+      nextCallAt = Double.POSITIVE_INFINITY;
     }
-    if (!launched && settings.asksForList()) {
-      // Restarted balancers start together: spread their first calls by a little.
-      double spread = START_SPREAD_EACH * settings.instances();
-      callIn(now, Math.min(LONGEST_START_SPREAD, spread) * random.nextDouble());
+    if (!started && settings.callsForList()) {
+      // Balancers that restart together spread their first calls.
+      double spread = START_SPREAD_SECONDS_PER_INSTANCE * settings.instances();
+      scheduleCall(now, Math.min(MAX_START_SPREAD_SECONDS, spread) * random.nextDouble());
     }
-    launched = true;
+    started = true;
   }
 
   /**
-   * The list service is small and shared: back off with jitter so that balancers whose calls failed
-   * together do not come back together, yet never as long as askWithin.
+   * Returns the pause after a failed call. Discovery is small and shared, so balancers whose calls
+   * failed together back off with jitter, but always for less than {@code askWithin}.
    */
   private double pauseAfterFailure(double now) {
-    boolean lost = subscribed;
+    boolean subscriptionLost = subscribed;
     subscribed = false;
-    failures = Math.min(failures + 1, 8);
-    double part = settings.contract().askWithin() * 0.4;
-    double longest = Math.max(settings.tick(), Math.min(LONGEST_PAUSE, part));
-    double pause = Math.min(longest, 0.25 * Math.pow(2, failures));
+    consecutiveFailures = Math.min(consecutiveFailures + 1, 8);
+    double partOfAskWithin = settings.contract().callWithin() * 0.4;
+    double longest = Math.max(settings.tickSeconds(), Math.min(MAX_PAUSE_SECONDS, partOfAskWithin));
+    double pause = Math.min(longest, 0.25 * Math.pow(2, consecutiveFailures));
     pause *= 0.5 + 0.5 * random.nextDouble();
-    return lost ? Math.max(pause, spread(now) * random.nextDouble()) : pause;
+    return subscriptionLost ? Math.max(pause, resubscribeSpread(now) * random.nextDouble()) : pause;
   }
 
-  /** In which time a fleet that has lost its subscriptions together asks for them again. */
-  private double spread(double now) {
-    double left = freshness.missesSince() + ASKED_AGAIN_AFTER - now;
-    double spread = Math.min(LONGEST_LOST_SPREAD, LOST_SPREAD_EACH * settings.instances());
-    return Math.max(0, Math.min(spread, left));
+  /** Returns the time over which a fleet spreads its calls after losing its subscriptions. */
+  private double resubscribeSpread(double now) {
+    double timeLeft = freshness.missingChangesSince() + RESUBSCRIBE_WITHIN_SECONDS - now;
+    double spread =
+        Math.min(
+            MAX_RESUBSCRIBE_SPREAD_SECONDS,
+            RESUBSCRIBE_SPREAD_SECONDS_PER_INSTANCE * settings.instances());
+    return Math.max(0, Math.min(spread, timeLeft));
   }
 
   private double pauseAfterOverload() {
     subscribed = false;
-    overloads++;
-    double first = Math.min(OVERLOAD_MOST, OVERLOAD_EACH * settings.instances());
-    double grown = Math.max(OVERLOAD_LEAST, first) * Math.pow(OVERLOAD_GROWTH, overloads);
-    return Math.min(LONGEST_OVERLOAD_PAUSE, grown)
-        * (OVERLOAD_LEAST_PART + (1 - OVERLOAD_LEAST_PART) * random.nextDouble());
+    consecutiveOverloads++;
+    double first =
+        Math.min(
+            MAX_FIRST_OVERLOAD_PAUSE_SECONDS,
+            OVERLOAD_PAUSE_SECONDS_PER_INSTANCE * settings.instances());
+    double grown =
+        Math.max(MIN_FIRST_OVERLOAD_PAUSE_SECONDS, first)
+            * Math.pow(OVERLOAD_PAUSE_GROWTH, consecutiveOverloads);
+    return Math.min(MAX_OVERLOAD_PAUSE_SECONDS, grown)
+        * (MIN_OVERLOAD_PAUSE_PART + (1 - MIN_OVERLOAD_PAUSE_PART) * random.nextDouble());
   }
 
-  private void put(double now, ServerEntry entry) {
+  private void applyEntry(double now, ServerEntry entry) {
     ServerHealth server = servers.get(entry.id());
     if (entry.state() == ServerEntry.State.GONE) {
       servers.remove(entry.id());
     } else if (server == null) {
       servers.put(entry.id(), new ServerHealth(entry, now, settings));
     } else {
-      server.listed(entry, now);
+      server.updateEntry(entry, now);
     }
   }
 
-  private void callIn(double now, double delay) {
-    callAt = now + delay;
-    actions.wake(Balancer.FEED_TOKEN, delay);
+  private void scheduleCall(double now, double delay) {
+    nextCallAt = now + delay;
+    actions.setTimer(Balancer.FEED_TIMER_TOKEN, delay);
   }
 
-  /** The feed's timer came due. */
-  void timer(double now) {
-    if (subscribed || !settings.asksForList()) {
+  /** Handles the feed's timer. */
+  void onTimer(double now) {
+    if (subscribed || !settings.callsForList()) {
       return;
     }
-    if (now + 1e-6 >= callAt) {
+    if (now + 1e-6 >= nextCallAt) {
       actions.subscribe(true);
-      // A call whose answer never comes must not leave this balancer silent; one that waits for its
-      // turn must not be given up, or the list's service works for those that have asked anew.
-      callIn(now, LONGEST_CALL);
+      // Calls again if this call is never answered, but not while it may still wait in discovery's
+      // queue: discovery would then work on calls that were already repeated.
+      scheduleCall(now, MAX_CALL_SECONDS);
     }
   }
 }
--- a/src/main/java/beamspread/policy/OriginGuard.java
+++ b/src/main/java/beamspread/policy/OriginGuard.java
@@ -10,147 +10,163 @@
 import java.util.Map;
 
 /**
- * Keeps fetches within what the origin bears. It remembers which keys each server answered lately;
- * a request for another is a likely fetch. One fetch of a key at a server goes first and the others
- * wait for it, and fetches in flight stay under a window that shrinks when many fail or come late.
- * Guards against the jam in which failed fetches keep keys out of the caches for good.
+ * Limits fetches to what the origin can serve. It remembers which keys each server has answered
+ * recently; a request for any other key is a likely fetch. Of several likely fetches of one key at
+ * one server, one is sent and the others wait for it. A window limits the fetches in flight and
+ * shrinks if many fail or are late. Without it, an overloaded origin fails most fetches, so keys
+ * never enter the caches and the load on the origin never falls.
  */
 final class OriginGuard {
-  /** Keys remembered, and how long at first; the time is then learned from hits and misses. */
-  private static final int MEMORY = 1 << 15;
+  /** Maximum number of remembered pairs of key and server. */
+  private static final int MAX_REMEMBERED_PAIRS = 1 << 15;
 
-  private static final double FIRST_HORIZON = 8;
+  /** Initial and longest time for which an answered key is expected to be cached. */
+  private static final double INITIAL_HORIZON_SECONDS = 8;
 
-  private static final double LONGEST_HORIZON = 60;
+  private static final double MAX_HORIZON_SECONDS = 60;
 
-  /** The window shrinks once in this part of an aim: fetches of a moment fail together. */
-  private static final double ROUND = 0.5;
+  /** The window shrinks at most once in this part of an aim: concurrent fetches fail together. */
+  private static final double SHRINK_INTERVAL_PART_OF_AIM = 0.5;
 
-  private static final double SHRINK = 0.7;
+  private static final double SHRINK_FACTOR = 0.7;
 
-  /** The part of fetches that may fail before the window shrinks, at the servers that fare best. */
-  static final double FAIR_LOSSES = 0.15;
+  /** Share of fetches that may fail, at the servers with the fewest failures, before it shrinks. */
+  static final double MAX_FAILURE_RATE = 0.15;
 
-  /** What one fetch weighs in the losses of all: two by chance are not yet trouble. */
-  private static final double LOSS_GAIN = 0.05;
+  /** Weight of one fetch in the moving average of failures: two chance failures stay below it. */
+  private static final double FAILURE_WEIGHT = 0.05;
 
   final Map<Long, Double> answeredAt = new LinkedHashMap<>(1024, 0.75f, true);
-  private final Map<Long, List<PendingRequest>> flights = new HashMap<>();
+  private final Map<Long, List<PendingRequest>> followersByPair = new HashMap<>();
   final ArrayDeque<PendingRequest> parked = new ArrayDeque<>();
-  private double horizon = FIRST_HORIZON;
+  private double horizon = INITIAL_HORIZON_SECONDS;
   private double window = Double.POSITIVE_INFINITY;
 
-  /** Likely fetches in flight, those at strained servers aside. */
-  int fetches;
+  /** Likely fetches in flight, without those at outlier servers. */
+  int fetchesInFlight;
 
-  /** The rate of likely fetches that the window never refuses. */
-  double floor;
+  /** Likely fetches a second that are admitted even if the window is full. */
+  double minFetchRate;
 
   private double tokens;
-  private double tokensAt;
-  private double losses;
+  private double tokensUpdatedAt;
+  private double failureRate;
 
-  /** What even the servers that fare best lose: what only a part turns away is its own. */
-  double leastLosses;
+  /** Failure rate at the servers with the fewest failures; higher rates are not the origin's. */
+  double bestFailureRate;
 
-  private double shrunkAt;
+  private double lastShrinkAt;
 
-  static long pair(PendingRequest p, ServerHealth server) {
-    return Hashes.mix(p.keyHash ^ Hashes.mix(server.id));
+  static long pairHash(PendingRequest pending, ServerHealth server) {
+    return Hashes.mix(pending.keyHash ^ Hashes.mix(server.id));
   }
 
-  boolean expectsMiss(double now, long pair) {
-    Double at = answeredAt.get(pair);
-    return at == null || now - at > horizon;
+  boolean expectsMiss(double now, long pairHash) {
+    Double previousAnswerAt = answeredAt.get(pairHash);
+    return previousAnswerAt == null || now - previousAnswerAt > horizon;
   }
 
-  /** Lets a request wait for the fetch that is out for its key at its server, if there is one. */
-  boolean follow(long pair, PendingRequest p) {
-    List<PendingRequest> followers = flights.get(pair);
-    return followers != null && followers.add(p);
+  /** Lets a request wait for the fetch in flight of its key at its server; false if none is. */
+  boolean joinFetch(long pairHash, PendingRequest pending) {
+    List<PendingRequest> followers = followersByPair.get(pairHash);
+    return followers != null && followers.add(pending);
   }
 
-  /** Whether the window leaves no room for a fetch now. */
-  boolean full(double now) {
-    if (fetches < window) {
+  /** Returns whether the window admits no fetch now. */
+  boolean isFull(double now) {
+    if (fetchesInFlight < window) {
       return false;
     }
-    // A part of requests always goes: a balancer that sees little takes many keys for fetches that
-    // others have long had cached, and only asking tells. The part shrinks with the share that
-    // fares well: an origin whose queue only holds what nobody waits for must be let drain.
-    tokens = Math.min(2, tokens + (now - tokensAt) * floor * (1 - losses) * (1 - losses));
-    tokensAt = now;
+    // A minimum rate is always admitted: a balancer with little traffic expects misses for keys
+    // that others have had cached long ago, and only an attempt shows it. The rate falls with the
+    // success rate, so that an origin whose queue holds only abandoned fetches can drain it.
+    tokens =
+        Math.min(
+            2,
+            tokens
+                + (now - tokensUpdatedAt) * minFetchRate * (1 - failureRate) * (1 - failureRate));
+    tokensUpdatedAt = now;
     return tokens < 1;
   }
 
-  /** Whether more fetches fail than is fair. */
-  boolean troubled() {
-    return Math.max(losses, leastLosses) > FAIR_LOSSES;
+  /** Returns whether so many fetches fail that the origin is probably overloaded. */
+  boolean isFailing() {
+    return Math.max(failureRate, bestFailureRate) > MAX_FAILURE_RATE;
   }
 
-  void park(PendingRequest p) {
-    parked.removeIf(old -> !old.waiting); // Else the longer a jam, the more would be kept.
-    parked.addLast(p);
+  void park(PendingRequest pending) {
+    parked.removeIf(old -> !old.held); // Otherwise the queue grows with a long outage.
+    parked.addLast(pending);
   }
 
-  /** The newest parked request: it has the most time left. Null if there is none or no room. */
-  PendingRequest unpark(double now) {
-    while (!parked.isEmpty() && !full(now)) {
-      PendingRequest p = parked.pollLast();
-      if (p.waiting && !p.answered) {
-        return p;
+  /** Removes the newest parked request, which has the most time left; null if none may be sent. */
+  PendingRequest nextParked(double now) {
+    while (!parked.isEmpty() && !isFull(now)) {
+      PendingRequest pending = parked.pollLast();
+      if (pending.held && !pending.answered) {
+        return pending;
       }
     }
     return null;
   }
 
-  /** A likely fetch goes out; one at a strained server says nothing of the origin. */
-  void started(double now, long pair, PendingRequest p, boolean strained) {
-    if (fetches >= window) {
+  /** Records that a likely fetch is sent; one at an outlier server does not use the window. */
+  void recordStart(double now, long pairHash, PendingRequest pending, boolean atOutlier) {
+    if (fetchesInFlight >= window) {
       tokens--;
     }
-    p.fetchAttempt = p.tries.size();
-    p.fetchPair = pair;
-    p.fetchCounted = !strained;
-    if (p.fetchCounted) {
-      fetches++;
+    pending.fetchAttempt = pending.attempts.size();
+    pending.fetchPairHash = pairHash;
+    pending.fetchCounted = !atOutlier;
+    if (pending.fetchCounted) {
+      fetchesInFlight++;
     }
-    flights.putIfAbsent(pair, new ArrayList<>());
+    followersByPair.putIfAbsent(pairHash, new ArrayList<>());
   }
 
-  /** A likely fetch is over, and may tell of the origin; returns the requests that waited. */
-  List<PendingRequest> over(
-      double now, PendingRequest p, boolean good, boolean bad, boolean tells) {
-    losses += tells && (good || bad) ? LOSS_GAIN * ((bad ? 1 : 0) - losses) : 0;
-    if (bad && troubled() && now - shrunkAt > ROUND * p.type.aim()) {
-      window = Math.max(1, Math.min(window, fetches) * SHRINK);
-      shrunkAt = now;
-    } else if (good && fetches >= window / 2) {
+  /**
+   * Records the end of a likely fetch.
+   *
+   * @param countsForOrigin whether the result counts in the failure rate of the origin
+   * @return the requests that waited for it
+   */
+  List<PendingRequest> recordEnd(
+      double now, PendingRequest pending, boolean inTime, boolean failed, boolean countsForOrigin) {
+    failureRate +=
+        countsForOrigin && (inTime || failed)
+            ? FAILURE_WEIGHT * ((failed ? 1 : 0) - failureRate)
+            : 0;
+    if (failed
+        && isFailing()
+        && now - lastShrinkAt > SHRINK_INTERVAL_PART_OF_AIM * pending.type.aim()) {
+      window = Math.max(1, Math.min(window, fetchesInFlight) * SHRINK_FACTOR);
+      lastShrinkAt = now;
+    } else if (inTime && fetchesInFlight >= window / 2) {
       window += 1 / window;
     }
-    if (p.fetchCounted) {
-      p.fetchCounted = false;
-      fetches--;
+    if (pending.fetchCounted) {
+      pending.fetchCounted = false;
+      fetchesInFlight--;
     }
-    p.fetchAttempt = -1;
-    List<PendingRequest> followers = flights.remove(p.fetchPair);
+    pending.fetchAttempt = -1;
+    List<PendingRequest> followers = followersByPair.remove(pending.fetchPairHash);
     return followers == null ? List.of() : followers;
   }
 
-  /** A server answered a request for a key: it holds it now. */
-  void answered(double now, long pair, Outcome.Note note) {
-    Double at = answeredAt.put(pair, now);
-    // Guards against growth for hours: what is older than any horizon tells nothing any more.
+  /** Records that a server answered a request for a key, so that it has the key cached now. */
+  void recordAnswer(double now, long pairHash, Outcome.Note note) {
+    Double previousAnswerAt = answeredAt.put(pairHash, now);
+    // Bounds memory: entries older than the longest horizon are of no use.
     var eldest = answeredAt.entrySet().iterator().next();
-    if (answeredAt.size() > MEMORY || eldest.getValue() < now - LONGEST_HORIZON) {
+    if (answeredAt.size() > MAX_REMEMBERED_PAIRS || eldest.getValue() < now - MAX_HORIZON_SECONDS) {
       answeredAt.remove(eldest.getKey());
     }
-    if (at != null) {
-      double age = now - at;
+    if (previousAnswerAt != null) {
+      double age = now - previousAnswerAt;
       if (note == Outcome.Note.MISS && age < horizon) {
         horizon = Math.max(0.5, horizon * 0.98);
       } else if (note == Outcome.Note.HIT && age > horizon) {
-        horizon = Math.min(LONGEST_HORIZON, horizon * 1.02);
+        horizon = Math.min(MAX_HORIZON_SECONDS, horizon * 1.02);
       }
     }
   }
--- a/src/main/java/beamspread/policy/PendingRequest.java
+++ b/src/main/java/beamspread/policy/PendingRequest.java
@@ -5,23 +5,22 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A request and its attempts: what rules 1 and 2 (one answer, no effect twice) are kept by. */
+/** A request and its attempts; enforces rule 1 (one answer) and rule 2 (no effect twice). */
 final class PendingRequest {
-  /** What is known of an attempt. */
-  private enum Fate {
-    OUT,
+  /** Whether an attempt is in flight and, once it has ended, whether it may have run. */
+  private enum AttemptState {
+    IN_FLIGHT,
     NOT_RUN,
     MAY_HAVE_RUN
   }
 
-  /** One attempt. */
   static final class Attempt {
     final ServerHealth server;
     final double sentAt;
-    private Fate fate = Fate.OUT;
+    private AttemptState state = AttemptState.IN_FLIGHT;
 
-    /** Whether its end says something of a connection, not of the server. */
-    boolean excused;
+    /** Whether it failed because of a connection, not because of its server. */
+    boolean connectionFault;
 
     Attempt(ServerHealth server, double sentAt) {
       this.server = server;
@@ -36,29 +35,29 @@
   final double arrived;
   final double deadline;
 
-  /** How many owners of the key's sequence share it, and with which of them to begin. */
-  int homes = 1;
+  /** Number of owners that share the key, and the index of the owner to start with. */
+  int owners = 1;
 
-  int firstHome;
+  int firstOwner;
 
-  /** How many jumps look for a server in the balancer's own zone before any may take it. */
-  int localJumps;
+  /** Number of jumps that only accept servers in the balancer's own zone. */
+  int zoneJumps;
 
-  final List<Attempt> tries = new ArrayList<>(2);
-  int out;
+  final List<Attempt> attempts = new ArrayList<>(2);
+  int inFlight;
   boolean answered;
   boolean streaming;
 
-  /** Whether it is held for a fetch. */
-  boolean waiting;
+  /** Whether it is held until a fetch ends. */
+  boolean held;
 
-  /** Whether it has been held for as long as it may be. */
-  boolean impatient;
+  /** Whether it has been held for the longest allowed time. */
+  boolean holdExpired;
 
-  /** Which attempt is a likely fetch, of what, and whether it counts among those in flight. */
+  /** Number of the attempt that is a likely fetch, or -1; its key and server; if it is counted. */
   int fetchAttempt = -1;
 
-  long fetchPair;
+  long fetchPairHash;
   boolean fetchCounted;
 
   PendingRequest(
@@ -71,52 +70,55 @@
     this.deadline = now + request.budget();
   }
 
-  void sent(ServerHealth server, double now) {
-    tries.add(new Attempt(server, now));
-    out++;
+  void recordSent(ServerHealth server, double now) {
+    attempts.add(new Attempt(server, now));
+    inFlight++;
   }
 
-  /** Notes an attempt's end; false if it was not out. */
-  boolean ended(int attempt, boolean provenNotRun) {
-    if (!isOut(attempt)) {
+  /** Records the end of an attempt; false if it was not in flight. */
+  boolean recordEnd(int attempt, boolean provenNotRun) {
+    if (!isInFlight(attempt)) {
       return false;
     }
-    tries.get(attempt).fate = provenNotRun ? Fate.NOT_RUN : Fate.MAY_HAVE_RUN;
-    out--;
+    attempts.get(attempt).state = provenNotRun ? AttemptState.NOT_RUN : AttemptState.MAY_HAVE_RUN;
+    inFlight--;
     return true;
   }
 
-  boolean isOut(int attempt) {
-    return attempt >= 0 && attempt < tries.size() && tries.get(attempt).fate == Fate.OUT;
+  boolean isInFlight(int attempt) {
+    return attempt >= 0
+        && attempt < attempts.size()
+        && attempts.get(attempt).state == AttemptState.IN_FLIGHT;
   }
 
-  /** The attempt number to hash the key with at the given jump: its homes in turn, then onward. */
-  int hashAttempt(int jump) {
-    if (jump < localJumps) {
-      return (firstHome + jump) % localJumps;
+  /** Returns the number to hash the key with at this jump: its owners in turn, then onward. */
+  int hashNumber(int jump) {
+    if (jump < zoneJumps) {
+      return (firstOwner + jump) % zoneJumps;
     }
-    int onward = jump - localJumps;
-    return onward < homes ? (firstHome + onward) % homes : onward;
+    int fallbackJump = jump - zoneJumps;
+    return fallbackJump < owners ? (firstOwner + fallbackJump) % owners : fallbackJump;
   }
 
   /**
-   * Whether this server has had its chance. Guards against leaving the cache that holds the key for
-   * one that lacks it, only because a connection broke; once, lest a server that breaks each
-   * connection get every attempt. It costs a trip where the server has just died.
+   * Returns whether this server must not get another attempt. After a broken connection the same
+   * server is tried once more, since other caches lack the key; only once, since a server that
+   * breaks each connection would get every attempt. If the server has just failed, this costs one
+   * round trip.
    */
-  boolean tried(ServerHealth server) {
-    List<Attempt> here = tries.stream().filter(attempt -> attempt.server == server).toList();
-    return here.size() > 1 || here.stream().anyMatch(attempt -> !attempt.excused);
+  boolean attemptsUsedUp(ServerHealth server) {
+    List<Attempt> atServer = attempts.stream().filter(attempt -> attempt.server == server).toList();
+    return atServer.size() > 1 || atServer.stream().anyMatch(attempt -> !attempt.connectionFault);
   }
 
   /**
-   * Rule 2: whether one more attempt may go to this server. Guards against an effect carried out
-   * twice: everything may be sent while no attempt can have run; after that only what is safe to
-   * repeat, or what the same group of servers still remembers.
+   * Rule 2: returns whether another attempt may be sent to this server without the risk of carrying
+   * out an effect twice. While no attempt can have run, any request may be sent; after that only
+   * safe requests, and keyed ones whose repeats the server's group still drops.
    */
   boolean maySend(ServerHealth server, double now, Settings.Limits limits) {
-    boolean alone = out == 0 || limits.parallelAttempts();
-    if (answered || streaming || tries.size() >= limits.maxAttempts() || !alone) {
+    boolean attemptAllowed = inFlight == 0 || limits.parallelAttempts();
+    if (answered || streaming || attempts.size() >= limits.maxAttempts() || !attemptAllowed) {
       return false;
     }
     Attempt first = firstThatMayHaveRun();
@@ -125,12 +127,12 @@
       case UNSAFE -> first == null;
       case KEYED ->
           first == null
-              || (type.group().holds(first.server.entry, server.entry)
+              || (type.group().includesBoth(first.server.entry, server.entry)
                   && now + limits.connectTimeout() < first.sentAt + type.repeatWindow());
     };
   }
 
-  /** Rule 2: whether the client may be told that a new try does no harm. */
+  /** Rule 2: returns whether the client may be told that repeating the request is safe. */
   boolean mayRefuse() {
     return type.effect() == Settings.Effect.SAFE
         || firstThatMayHaveRun() == null
@@ -138,8 +140,8 @@
   }
 
   private Attempt firstThatMayHaveRun() {
-    for (Attempt attempt : tries) {
-      if (attempt.fate != Fate.NOT_RUN) {
+    for (Attempt attempt : attempts) {
+      if (attempt.state != AttemptState.NOT_RUN) {
         return attempt;
       }
     }
--- a/src/main/java/beamspread/policy/Rates.java
+++ b/src/main/java/beamspread/policy/Rates.java
@@ -1,76 +1,78 @@
 package beamspread.policy;
 
 /**
- * How many requests come to this balancer and how many are answered, a second. Counted as they
- * happen and averaged once a second; times are seconds of the balancer's clock.
+ * Measures requests and answers per second at this balancer. They are counted as they happen and
+ * averaged once a second; times are seconds of the balancer's clock.
  */
 final class Rates {
-  private static final double INTERVAL = 1;
+  private static final double INTERVAL_SECONDS = 1;
 
-  /** How much of a higher, and of a lower, rate of warm servers is believed at once. */
-  private static final double WARM_RISES = 0.3;
+  /** Gain of the moving average for a rising, and for a falling, rate of warm servers. */
+  private static final double WARM_RATE_RISE_GAIN = 0.3;
 
-  private static final double WARM_FALLS = 0.02;
+  private static final double WARM_RATE_FALL_GAIN = 0.02;
 
-  private static final double REQUESTS_FOLLOW = 0.05;
+  private static final double REQUEST_RATE_GAIN = 0.05;
 
-  /** Answers of a warm server of unit weight; 0 while nothing is known of it. */
-  double warm;
+  /** Answers per second of a warm server of unit weight; 0 while unknown. */
+  double warmRate;
 
-  /** Answers of all servers; positive infinity before the first second is over. */
-  double answered = Double.POSITIVE_INFINITY;
+  /** Answers per second of all servers; positive infinity during the first second. */
+  double answerRate = Double.POSITIVE_INFINITY;
 
-  /** Requests of clients. */
-  double requested;
+  /** Clients' requests per second. */
+  double requestRate;
 
   private double warmAnswers;
   private double answers;
   private int requests;
-  private double countedSince = Double.NaN;
+  private double intervalStart = Double.NaN;
 
-  /** A client's request has come. */
-  void request() {
+  /** Counts a client's request. */
+  void countRequest() {
     requests++;
   }
 
-  /** A server has answered; {@code byWarm} if it was warm. */
-  void answer(boolean byWarm) {
+  /** Counts an answer of a server; {@code byWarm} if the server was warm. */
+  void countAnswer(boolean byWarm) {
     answers++;
     warmAnswers += byWarm ? 1 : 0;
   }
 
-  /** Whether it is time to average. */
-  boolean due(double now) {
-    countedSince = Double.isNaN(countedSince) ? now : countedSince;
-    return now - countedSince >= INTERVAL;
+  /** Returns whether an interval has ended, so that {@link #updateAverages} is due. */
+  boolean isDue(double now) {
+    intervalStart = Double.isNaN(intervalStart) ? now : intervalStart;
+    return now - intervalStart >= INTERVAL_SECONDS;
   }
 
   /**
-   * Averages what was counted. The warm rate falls slowly: retries, little load or too much say
-   * nothing of what a server can do. Requests are averaged slowly, lest a storm of clients' tries
-   * raise their rate.
+   * Updates the averages with the counts of the last interval. The warm rate falls slowly, since
+   * retries, little load and too much load all lower it below what a server can do. The request
+   * rate changes slowly, so that a burst of clients' retries does not raise it.
    *
-   * @param warmWeight the weight of all warm servers that are in order
-   * @param sending whether requests may go out at all: if not, that none is answered tells nothing
+   * @param warmWeight the total weight of all warm servers that are in order
+   * @param sending whether requests may be sent; if not, the absence of answers means nothing
    */
-  void average(double now, double warmWeight, boolean sending) {
-    double seconds = now - countedSince;
+  void updateAverages(double now, double warmWeight, boolean sending) {
+    double seconds = now - intervalStart;
     if (sending) {
-      averageAnswers(seconds, warmWeight);
+      updateAnswerRates(seconds, warmWeight);
     }
-    requested += (requested == 0 ? 1 : REQUESTS_FOLLOW) * (requests / seconds - requested);
+    requestRate += (requestRate == 0 ? 1 : REQUEST_RATE_GAIN) * (requests / seconds - requestRate);
     warmAnswers = 0;
     answers = 0;
     requests = 0;
-    countedSince = now;
+    intervalStart = now;
   }
 
-  private void averageAnswers(double seconds, double warmWeight) {
+  private void updateAnswerRates(double seconds, double warmWeight) {
     if (warmWeight > 0) {
       double rate = warmAnswers / seconds / warmWeight;
-      warm += (warm == 0 ? 1 : rate > warm ? WARM_RISES : WARM_FALLS) * (rate - warm);
+      warmRate +=
+          (warmRate == 0 ? 1 : rate > warmRate ? WARM_RATE_RISE_GAIN : WARM_RATE_FALL_GAIN)
+              * (rate - warmRate);
     }
     double rate = answers / seconds;
-    answered = Double.isInfinite(answered) ? rate : 0.5 * (answered + rate);
+    answerRate = Double.isInfinite(answerRate) ? rate : 0.5 * (answerRate + rate);
   }
 }
--- a/src/main/java/beamspread/policy/ServerHealth.java
+++ b/src/main/java/beamspread/policy/ServerHealth.java
@@ -5,241 +5,259 @@
 import beamspread.model.ServerEntry;
 import beamspread.model.Settings;
 
-/** What this balancer knows of one server: its list entry, requests in flight, health, warmth. */
+/** Tracks one server: its list entry, requests in flight, health, key share and warmth. */
 final class ServerHealth {
-  /** Failures to connect in a row that make a server suspect; one may be a full server's. */
-  private static final int SUSPECT_AFTER = 2;
+  /** Consecutive connect failures that make a server suspect; a full server may cause one. */
+  private static final int SUSPECT_AFTER_FAILURES = 2;
 
-  /** Attempts in a row not served that make a server suspect, where most servers fare well. */
-  static final int UNSERVED_AFTER = 3;
+  /** Consecutive unserved attempts that make a server suspect while few servers fail. */
+  static final int SUSPECT_AFTER_UNSERVED = 3;
 
-  /** Seconds after an answer in which a reset says something of a connection, not of its server. */
-  private static final double LIVELY = 1;
+  /** Within this time after an answer, a reset is blamed on the connection, not on the server. */
+  private static final double RECENT_ANSWER_SECONDS = 1;
 
-  /** Seconds without any answer after which a server that answers again has been restarted. */
-  private static final double LEAST_OUTAGE = 2;
+  /** A server that answers again after no answer for this long has been restarted. */
+  private static final double MIN_OUTAGE_SECONDS = 2;
 
-  /** Pause before a suspect's first trial, and the longest one, in seconds. */
-  private static final double FIRST_PAUSE = 0.5;
+  /** Pause before the first trial of a suspect server, and the longest pause. */
+  private static final double FIRST_TRIAL_PAUSE_SECONDS = 0.5;
 
-  private static final double LONGEST_PAUSE = 4;
+  private static final double MAX_TRIAL_PAUSE_SECONDS = 4;
 
-  /** Seconds in which unrenewed strain fades to a third. */
-  private static final double STRAIN_FADES = 3;
+  /** Time constant of the decay of saturation, in which it falls to about a third. */
+  private static final double SATURATION_DECAY_SECONDS = 3;
 
-  /** What one fetch weighs in its server's losses. */
-  static final double ONE_LOSS = 0.2;
+  /** Weight of one fetch in the moving average of its server's fetch failures. */
+  static final double FETCH_WEIGHT = 0.2;
 
-  /** Strain under which a server answers with ease. */
-  private static final double EASE = 0.5;
+  /** Saturation below which a server has capacity to spare. */
+  private static final double LOW_SATURATION = 0.5;
 
   final long id;
   ServerEntry entry;
   int inFlight;
 
   /**
-   * The share of its keys that the server is offered, learned from how it fares: the others jump.
-   * Which keys stay goes by their hash alone, so balancers that learn alike move the same keys.
+   * Share of its keys that the server gets, learned from its saturation; the other keys jump on.
+   * Which keys stay depends only on their hashes, so balancers that learn the same share move the
+   * same keys.
    */
-  double share = 1;
+  double keyShare = 1;
 
-  /** How strained it is, lately: above 1 its answers come late or its cores are all in use. */
-  private double strain = 0.5;
+  /** Recent saturation: above 1, its answers are late or its cores are fully used. */
+  private double saturation = 0.5;
 
-  private double learnedAt;
+  private double sampledAt;
 
   private final Settings settings;
   private double startedAt;
-  private int failures;
-  private double pause;
-  private double trialAt;
-  private boolean trialOut;
+  private int connectFailures;
+  private double trialPause;
+  private double nextTrialAt;
+  private boolean trialInFlight;
 
-  /** The share of its fetches that failed or came late, lately. */
-  double fetchLosses;
+  /** Share of its recent fetches that failed or were late. */
+  double fetchFailureRate;
 
-  /** Attempts in a row that it did not serve. */
-  int unserved;
+  /** Consecutive attempts that it did not serve. */
+  int consecutiveUnserved;
 
-  /** When a connection was last in use; none is held when this is too long ago. */
-  double connectedAt = Double.NEGATIVE_INFINITY;
+  /** When a connection was last in use; after the idle timeout none is open. */
+  double connectionUsedAt = Double.NEGATIVE_INFINITY;
 
-  /** Whether a connection to it broke, and whether its process ended. */
-  private boolean broke;
+  /** Whether a connection to it broke, and whether its process has probably ended. */
+  private boolean connectionBroke;
 
-  private boolean died;
+  private boolean processEnded;
 
-  /** When it last answered; before it ever has, when this balancer came to know it. */
-  private double heardAt;
+  /** Time of its last answer; before the first one, the time it was added to the list. */
+  private double lastAnswerAt;
 
-  private boolean heard;
-  private double servedAt = Double.NEGATIVE_INFINITY;
+  private boolean hasAnswered;
+  private double lastServedAt = Double.NEGATIVE_INFINITY;
 
-  private double tokens;
-  private double tokensAt;
+  private double coldTokens;
+  private double coldTokensUpdatedAt;
 
   ServerHealth(ServerEntry entry, double now, Settings settings) {
     this.id = entry.id();
     this.entry = entry;
     this.settings = settings;
     this.startedAt = entry.startedAt() > 0 ? entry.startedAt() : Double.NEGATIVE_INFINITY;
-    this.learnedAt = now;
-    this.heardAt = now;
-    takeTurn(now);
+    this.sampledAt = now;
+    this.lastAnswerAt = now;
+    resetColdTokens(now);
   }
 
-  /** Balancers have their first turns at a started server one after the other. */
-  private void takeTurn(double now) {
-    double turn = (double) settings.number() / Math.max(1, settings.instances());
-    tokens = (turn + Hashes.fraction(Hashes.mix(id))) % 1;
-    tokensAt = now;
+  /** Resets the token bucket; balancers are staggered in their first requests to a cold server. */
+  private void resetColdTokens(double now) {
+    double phase = (double) settings.instanceNumber() / Math.max(1, settings.instances());
+    coldTokens = (phase + Hashes.toUnitInterval(Hashes.mix(id))) % 1;
+    coldTokensUpdatedAt = now;
   }
 
-  /** The list has news of this server; a new start means an empty cache and a cold machine. */
-  void listed(ServerEntry news, double now) {
-    if (news.startedAt() > entry.startedAt()) {
-      startedAt = Math.max(startedAt, news.startedAt());
-      failures = 0;
-      trialOut = false;
-      takeTurn(now);
+  /** Updates the list entry; a later start time means an empty cache and a cold server. */
+  void updateEntry(ServerEntry update, double now) {
+    if (update.startedAt() > entry.startedAt()) {
+      startedAt = Math.max(startedAt, update.startedAt());
+      connectFailures = 0;
+      trialInFlight = false;
+      resetColdTokens(now);
     }
-    entry = news;
+    entry = update;
   }
 
-  /** Rule 3: only servers that the list calls ready get anything new. */
-  boolean ready() {
+  /** Rule 3: returns whether the list says ready; only such servers get new requests. */
+  boolean isReady() {
     return entry.state() == ServerEntry.State.READY;
   }
 
-  /** Whether it answered so lately that a broken connection says nothing of the server. */
-  boolean lively(double now) {
-    return heard && now - heardAt < LIVELY;
+  /** Returns whether it answered so recently that a broken connection is not its fault. */
+  boolean answeredRecently(double now) {
+    return hasAnswered && now - lastAnswerAt < RECENT_ANSWER_SECONDS;
   }
 
-  boolean suspect() {
-    return failures >= SUSPECT_AFTER;
+  boolean isSuspect() {
+    return connectFailures >= SUSPECT_AFTER_FAILURES;
   }
 
-  /** Whether a suspect server may get a trial request now: one at a time, after a pause. */
-  boolean trialDue(double now) {
-    return !trialOut && now >= trialAt;
+  /** Returns whether a suspect server may get a trial request: one at a time, after a pause. */
+  boolean isTrialDue(double now) {
+    return !trialInFlight && now >= nextTrialAt;
   }
 
   /**
-   * A sign of strain, 1 being the most that is fair. Guards against servers that are slower than
-   * the list says, or have more than their part of the keys, where each balancer has too few
-   * requests in flight for a cap to act.
+   * Adds a sample of saturation and adapts the key share. This relieves servers that are slower
+   * than their weight or own too many keys while each balancer has too few requests in flight there
+   * to reach a cap.
+   *
+   * @param sample 1 for a server that is just not saturated
+   * @param saturationLimit the saturation above which the share falls
    */
-  void strained(double now, double sample, double fair) {
-    strain = strain(now) + 0.2 * (Math.min(4, Math.max(0, sample)) - strain(now));
-    double clipped = Math.min(4, Math.max(0, sample / fair));
-    if (clipped > 1) {
-      // A balancer that sees little learns more from each sample: it speaks for the time before it.
-      double gain = Math.max(0.1, Math.min(0.25, 0.2 * (now - learnedAt)));
-      share *= 1 - gain * (clipped - 1);
+  void addSample(double now, double sample, double saturationLimit) {
+    saturation = saturation(now) + 0.2 * (Math.min(4, Math.max(0, sample)) - saturation(now));
+    double relative = Math.min(4, Math.max(0, sample / saturationLimit));
+    if (relative > 1) {
+      // After a longer time a sample weighs more: with little traffic there are few samples.
+      double gain = Math.max(0.1, Math.min(0.25, 0.2 * (now - sampledAt)));
+      keyShare *= 1 - gain * (relative - 1);
     } else {
-      share += 0.05 * (1 - clipped) * Math.max(share, 0.2);
+      keyShare += 0.05 * (1 - relative) * Math.max(keyShare, 0.2);
     }
-    // Without any sample the share still comes back slowly: a server with few keys has few.
-    share += 0.02 * Math.min(5, Math.max(0, now - learnedAt));
-    share = Math.min(1, Math.max(0.02, share));
-    learnedAt = now;
+    // The share also recovers with time, since a server with few keys gives few samples.
+    keyShare += 0.02 * Math.min(5, Math.max(0, now - sampledAt));
+    keyShare = Math.min(1, Math.max(0.02, keyShare));
+    sampledAt = now;
   }
 
-  /** A likely fetch is over. */
-  void fetched(boolean good, boolean bad) {
-    fetchLosses += good || bad ? ONE_LOSS * ((bad ? 1 : 0) - fetchLosses) : 0;
+  /** Records the result of a likely fetch; one that is neither good nor bad does not count. */
+  void recordFetch(boolean inTime, boolean failed) {
+    fetchFailureRate += inTime || failed ? FETCH_WEIGHT * ((failed ? 1 : 0) - fetchFailureRate) : 0;
   }
 
-  /** Old strain fades: a server that gets nothing must not be held strained for good. */
-  double strain(double now) {
-    return strain * Math.exp(Math.min(0, learnedAt - now) / STRAIN_FADES);
+  /** Returns the saturation, which decays so that a server without requests recovers. */
+  double saturation(double now) {
+    return saturation * Math.exp(Math.min(0, sampledAt - now) / SATURATION_DECAY_SECONDS);
   }
 
-  double share(double now) {
-    return Math.min(1, share + 0.02 * Math.max(0, now - learnedAt));
+  /** Returns the key share, which recovers with time. */
+  double keyShare(double now) {
+    return Math.min(1, keyShare + 0.02 * Math.max(0, now - sampledAt));
   }
 
-  /** Whether the key is among those that the server keeps while it is offered but a share. */
-  boolean keeps(double now, long keyHash, double most) {
-    double kept = share(now) / most;
-    return kept >= 1 || Hashes.fraction(keyHash ^ Hashes.mix(id)) < kept;
+  /** Returns whether the key is in the server's share, relative to the largest share. */
+  boolean keepsKey(double now, long keyHash, double largestShare) {
+    double kept = keyShare(now) / largestShare;
+    return kept >= 1 || Hashes.toUnitInterval(keyHash ^ Hashes.mix(id)) < kept;
   }
 
-  /** The share of its capacity that a started server has by the contract: 1 once it is warm. */
+  /** Returns the part of its capacity that it has by the contract; 1 once it is warm. */
   double warmth(double now) {
     return settings.contract().warmth(now - startedAt);
   }
 
   /**
-   * Rule 4: whether it is this balancer's turn at a cold server. Its rate is the one at which warm
-   * servers of like weight answer it, times what this one can do by now; once it answers with ease,
-   * half of what the contract leaves on top. A turn that is not taken in time is lost: nobody hears
-   * of the others, and what all have saved up must not come together. What is left of the
-   * contract's N, and most of the two roots of N, is for turns that begin before a window.
+   * Rule 4: returns whether a token bucket admits a request to this cold server. The fill rate is
+   * the answer rate of warm servers of equal weight times the server's warmth; once it answers with
+   * low saturation, half of what the contract allows above that is added. Balancers don't know of
+   * each other's requests, so saved tokens are limited: all balancers may spend them at the same
+   * time. The rest of the contract's N, and most of the 2√N above it, covers tokens that were
+   * earned before a window began.
    */
-  boolean coldRoom(double now, double warmRate) {
-    double fair = warmRate * warmth(now);
-    double spare = Math.max(0, settings.contract().overloadFactor() - 1) / 2;
-    double rate = fair * (servedAt > startedAt && strain(now) < EASE ? 1 + spare : 1);
-    double all = Math.max(1, settings.instances());
-    double window = fair * settings.contract().overloadFor();
-    double late = window * spare + 1.5 * Math.sqrt((1 + 2 * spare) * window / all) + 1 / all;
-    late = Math.min(late, Math.max(1, rate * 0.25));
-    tokens += (now - tokensAt) * rate;
-    tokens -= Math.max(0, Math.ceil(tokens - 1 - late));
-    tokensAt = now;
-    return tokens >= 1;
-  }
-
-  void sent() {
+  boolean admitsWhileCold(double now, double warmRate) {
+    double saturationLimit = warmRate * warmth(now);
+    double reservePart = Math.max(0, settings.contract().overloadFactor() - 1) / 2;
+    double rate =
+        saturationLimit
+            * (lastServedAt > startedAt && saturation(now) < LOW_SATURATION ? 1 + reservePart : 1);
+    double instances = Math.max(1, settings.instances());
+    double window = saturationLimit * settings.contract().overloadFor();
+    double savedTokensLimit =
+        window * reservePart
+            + 1.5 * Math.sqrt((1 + 2 * reservePart) * window / instances)
+            + 1 / instances;
+    savedTokensLimit = Math.min(savedTokensLimit, Math.max(1, rate * 0.25));
+    coldTokens += (now - coldTokensUpdatedAt) * rate;
+    coldTokens -= Math.max(0, Math.ceil(coldTokens - 1 - savedTokensLimit));
+    coldTokensUpdatedAt = now;
+    return coldTokens >= 1;
+  }
+
+  void recordSent() {
     inFlight++;
-    tokens--;
-    if (suspect()) {
-      trialOut = true;
+    coldTokens--;
+    if (isSuspect()) {
+      trialInFlight = true;
     }
   }
 
-  /** An attempt ended; true if the server refused a connection and may yet be running. */
-  boolean ended(double now, Outcome outcome, double idleTimeout, boolean few) {
+  /** Records an attempt's end; true if the server refused a connection but may be running. */
+  boolean recordEnd(double now, Outcome outcome, double idleTimeout, boolean fewServersFail) {
     Outcome.Result result = outcome.result();
     boolean served = result == Outcome.Result.OK || result == Outcome.Result.NOT_STORED;
     boolean failed = outcome.blamesServer();
-    unserved = served ? 0 : unserved + (failed ? 1 : 0);
-    servedAt = served ? now : servedAt;
+    consecutiveUnserved = served ? 0 : consecutiveUnserved + (failed ? 1 : 0);
+    lastServedAt = served ? now : lastServedAt;
     inFlight--;
-    trialOut = false;
-    boolean was = suspect();
-    if (result.unreachable()) {
-      // A server at its limit of connections refuses as a dead one does, but keeps those it has.
-      broke |= result == Outcome.Result.RESET || now - connectedAt < idleTimeout;
-      // Guards against taking a live server that resets connections for a dead one, and then for a
-      // cold one: only one that refuses its trials, too, for as long as a start takes, has died.
-      died |= was && broke && now - heardAt > LEAST_OUTAGE;
-      connectedAt = Double.NEGATIVE_INFINITY;
-      failures += result == Outcome.Result.RESET && lively(now) ? 0 : 1;
-    } else if (result.fromServer()) {
-      connectedAt = heardAt = now;
-      heard = true;
-      if (was && died) {
-        // It was down and answers again before the list has told: its process is new and cold.
+    trialInFlight = false;
+    boolean wasSuspect = isSuspect();
+    if (result.connectionLost()) {
+      // A server at its connection limit refuses like a dead one, but keeps open connections.
+      connectionBroke |= result == Outcome.Result.RESET || now - connectionUsedAt < idleTimeout;
+      // A running server that resets connections must not count as dead and then as cold: its
+      // process has ended only if trials fail too, for at least as long as a start takes.
+      processEnded |= wasSuspect && connectionBroke && now - lastAnswerAt > MIN_OUTAGE_SECONDS;
+      connectionUsedAt = Double.NEGATIVE_INFINITY;
+      connectFailures += result == Outcome.Result.RESET && answeredRecently(now) ? 0 : 1;
+    } else if (result.isFromServer()) {
+      connectionUsedAt = lastAnswerAt = now;
+      hasAnswered = true;
+      if (wasSuspect && processEnded) {
+        // It answers again before the list reports the restart: its process is new and cold.
         startedAt = Math.max(startedAt, now);
-        takeTurn(now);
+        resetColdTokens(now);
       }
-      failures = 0;
-      died = broke = false;
+      connectFailures = 0;
+      processEnded = connectionBroke = false;
     }
-    // Guards against servers that hang, whose fetches would be taken for the origin's losses, and
-    // against those that turn all away at once and so draw the most; not where many do so, for that
-    // has a cause that they share, nor where it serves a part: its load would push the others over.
-    if (failed && few && unserved >= UNSERVED_AFTER && now - servedAt > LIVELY) {
-      failures = SUSPECT_AFTER;
+    // A server that hangs would make its failed fetches look like the origin's, and one that
+    // rejects everything at once looks idle and attracts requests: both become suspect. Not if many
+    // fail, since the cause is then shared, and not if it still serves some requests, since its
+    // load would overload the others.
+    if (failed
+        && fewServersFail
+        && consecutiveUnserved >= SUSPECT_AFTER_UNSERVED
+        && now - lastServedAt > RECENT_ANSWER_SECONDS) {
+      connectFailures = SUSPECT_AFTER_FAILURES;
     }
-    // What was out before the trial tells nothing new, and a trial that ends at once costs little.
-    if (suspect() && !served && (!was || now >= trialAt)) {
-      pause = was && !result.fromServer() ? Math.min(LONGEST_PAUSE, pause * 1.5) : FIRST_PAUSE;
-      trialAt = now + pause;
+    // Attempts sent before the trial don't delay it; a trial that gets an answer costs little.
+    if (isSuspect() && !served && (!wasSuspect || now >= nextTrialAt)) {
+      trialPause =
+          wasSuspect && !result.isFromServer()
+              ? Math.min(MAX_TRIAL_PAUSE_SECONDS, trialPause * 1.5)
+              : FIRST_TRIAL_PAUSE_SECONDS;
+      nextTrialAt = now + trialPause;
     }
-    return result.unreachable() && !broke;
+    return result.connectionLost() && !connectionBroke;
   }
 }
--- a/src/main/java/beamspread/policy/UnservedCause.java
+++ b/src/main/java/beamspread/policy/UnservedCause.java
@@ -1,19 +1,19 @@
 package beamspread.policy;
 
-/** Why a request got its final answer from this balancer and not from a server. */
+/** Why this balancer, and not a server, gave a request its final answer. */
 public enum UnservedCause {
-  /** More is under way than is answered within the class's aim. */
+  /** More requests are in flight than are answered within the class's aim. */
   OVERLOAD,
-  /** As many requests are open as may be. */
+  /** The limit on open requests is reached. */
   TOO_MANY_OPEN,
-  /** The list of servers is too old to be acted on. */
+  /** The list of servers has expired. */
   LIST_EXPIRED,
-  /** No server may take it. */
+  /** No server may receive the request. */
   NO_SERVER,
-  /** An attempt failed, and no further one is earned. */
+  /** An attempt failed, and the retry budget is used up. */
   NO_RETRY,
-  /** Its time is up. */
+  /** The request's deadline has passed. */
   TIME_UP,
-  /** Its class is not known. */
+  /** The settings don't name the request's class. */
   UNKNOWN_CLASS
 }
--- a/src/main/java/beamspread/replay/NodeText.java
+++ b/src/main/java/beamspread/replay/NodeText.java
@@ -82,14 +82,14 @@
     all.put("azs", settings.zones());
     all.put("kinds", settings.kinds());
     all.put("instances", settings.instances());
-    all.put("my-number", settings.number());
-    all.put("discovery", settings.asksForList() ? "ask" : "push");
+    all.put("my-number", settings.instanceNumber());
+    all.put("discovery", settings.callsForList() ? "ask" : "push");
     all.put(
         "weight-kind",
         settings.weights() == Settings.Weights.NONE
             ? "silent"
             : settings.weights().name().toLowerCase(Locale.ROOT));
-    all.put("period", settings.tick());
+    all.put("period", settings.tickSeconds());
     all.put("over-share-worth", settings.overShareWorth());
     Settings.Limits limits = settings.limits();
     Map<String, Object> caps = new LinkedHashMap<>();
@@ -97,18 +97,18 @@
     caps.put("parallel-tries", limits.parallelAttempts());
     caps.put("cancel", limits.mayCancel());
     caps.put("probing", limits.mayProbe());
-    caps.put("may-tell", limits.mayTell());
-    caps.put("retry-after", limits.advisesRetry());
+    caps.put("may-tell", limits.mayMessagePeers());
+    caps.put("retry-after", limits.advisesRetryAfter());
     caps.put("max-retry-after", limits.maxRetryAfter());
     caps.put("connect-timeout", limits.connectTimeout());
     caps.put("conn-idle", limits.idleTimeout());
-    caps.put("multiplex", limits.perConnection());
+    caps.put("multiplex", limits.attemptsPerConnection());
     caps.put("open-cap", limits.maxOpen());
     all.put("caps", caps);
     Settings.Contract contract = settings.contract();
     Map<String, Object> promises = new LinkedHashMap<>();
     promises.put("grace-to-answer", contract.answerGrace());
-    promises.put("ask-within", contract.askWithin());
+    promises.put("ask-within", contract.callWithin());
     promises.put("drain-grace", contract.drainGrace());
     promises.put("cold-from", contract.coldFrom());
     promises.put("warm-within", contract.warmWithin());
--- a/src/main/java/beamspread/sim/ActionWriter.java
+++ b/src/main/java/beamspread/sim/ActionWriter.java
@@ -5,7 +5,7 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** Writes the actions of one instance in the wire's words. */
+/** Writes the actions of one instance as messages of the simulator's protocol. */
 final class ActionWriter implements Actions {
   private final JsonGenerator out;
   private final long instance;
@@ -15,12 +15,12 @@
     this.instance = instance;
   }
 
-  /** The fields of one action. */
-  private interface Fields {
+  /** Writes the fields of one action. */
+  private interface FieldWriter {
     void write() throws IOException;
   }
 
-  private void action(String type, Fields fields) {
+  private void writeAction(String type, FieldWriter fields) {
     try {
       out.writeStartObject();
       out.writeStringField("type", type);
@@ -35,7 +35,7 @@
 
   @Override
   public void send(String requestId, long server, double timeout) {
-    action(
+    writeAction(
         "PASS_ON",
         () -> {
           out.writeStringField("handle", requestId);
@@ -48,7 +48,7 @@
 
   @Override
   public void cancel(String requestId, int attempt) {
-    action(
+    writeAction(
         "REVOKE",
         () -> {
           out.writeStringField("handle", requestId);
@@ -58,7 +58,7 @@
 
   @Override
   public void refuse(String requestId, double retryAfter) {
-    action(
+    writeAction(
         "BUSY",
         () -> {
           out.writeStringField("handle", requestId);
@@ -70,12 +70,12 @@
 
   @Override
   public void fail(String requestId) {
-    action("ERROR", () -> out.writeStringField("handle", requestId));
+    writeAction("ERROR", () -> out.writeStringField("handle", requestId));
   }
 
   @Override
-  public void wake(long token, double delay) {
-    action(
+  public void setTimer(long token, double delay) {
+    writeAction(
         "WAKE_ME",
         () -> {
           out.writeNumberField("key-back", token);
@@ -85,16 +85,16 @@
 
   @Override
   public void subscribe(boolean on) {
-    action("SUBSCRIBE", () -> out.writeBooleanField("active", on));
+    writeAction("SUBSCRIBE", () -> out.writeBooleanField("active", on));
   }
 
   @Override
   public void closeIdle(long server) {
-    action("SHUT_IDLE", () -> out.writeNumberField("server", server));
+    writeAction("SHUT_IDLE", () -> out.writeNumberField("server", server));
   }
 
-  /** Declares the decision code broken. */
-  void exception(String text) {
-    action("EXCEPTION", () -> out.writeStringField("text", text));
+  /** Reports an exception of the balancer. */
+  void writeException(String text) {
+    writeAction("EXCEPTION", () -> out.writeStringField("text", text));
   }
 }
--- a/src/main/java/beamspread/sim/Message.java
+++ b/src/main/java/beamspread/sim/Message.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** One JSON object of the wire, with typed access to its fields. */
+/** A JSON object of the protocol, with typed access to its fields. */
 public final class Message {
   private static final JsonFactory FACTORY = new JsonFactory();
   private final Map<String, Object> fields;
@@ -19,7 +19,7 @@
     this.fields = fields;
   }
 
-  /** Whether the other says the same, in whatever order. */
+  /** Compares the fields, without regard to their order. */
   @Override
   public boolean equals(Object other) {
     return other instanceof Message message && fields.equals(message.fields);
@@ -30,13 +30,13 @@
     return fields.hashCode();
   }
 
-  /** Parses one JSON object, which must be all of the text. */
+  /** Parses a text that consists of exactly one JSON object. */
   public static Message parse(String line) throws WireException {
     try (JsonParser parser = FACTORY.createParser(line)) {
       if (parser.nextToken() != JsonToken.START_OBJECT) {
         throw new WireException("not a JSON object");
       }
-      Message message = new Message(object(parser));
+      Message message = new Message(readFields(parser));
       if (parser.nextToken() != null) {
         throw new WireException("more than one JSON value");
       }
@@ -46,24 +46,24 @@
     }
   }
 
-  private static Map<String, Object> object(JsonParser parser) throws IOException {
+  private static Map<String, Object> readFields(JsonParser parser) throws IOException {
     Map<String, Object> map = new HashMap<>();
     while (parser.nextToken() != JsonToken.END_OBJECT) {
       String name = parser.currentName();
       parser.nextToken();
-      map.put(name, value(parser));
+      map.put(name, readValue(parser));
     }
     return map;
   }
 
-  private static Object value(JsonParser parser) throws IOException {
+  private static Object readValue(JsonParser parser) throws IOException {
     switch (parser.currentToken()) {
       case START_OBJECT:
-        return new Message(object(parser));
+        return new Message(readFields(parser));
       case START_ARRAY:
         List<Object> list = new ArrayList<>();
         while (parser.nextToken() != JsonToken.END_ARRAY) {
-          list.add(value(parser));
+          list.add(readValue(parser));
         }
         return list;
       case VALUE_NUMBER_INT:
@@ -80,78 +80,78 @@
     }
   }
 
-  private WireException wrong(String name) {
+  private WireException invalidField(String name) {
     String type = fields.get("type") instanceof String text ? text + " " : "";
-    String what = fields.get(name) == null ? "without" : "with a wrong value of";
-    return new WireException(type + "message " + what + " field '" + name + "'");
+    String problem = fields.get(name) == null ? "without" : "with a wrong value of";
+    return new WireException(type + "message " + problem + " field '" + name + "'");
   }
 
-  /** A text that must be there. */
+  /** Returns a required text. */
   public String requiredText(String name) throws WireException {
     if (fields.get(name) instanceof String text) {
       return text;
     }
-    throw wrong(name);
+    throw invalidField(name);
   }
 
-  /** A number that must be there. */
+  /** Returns a required number. */
   public double requiredNumber(String name) throws WireException {
     if (fields.get(name) instanceof Number number) {
       return number.doubleValue();
     }
-    throw wrong(name);
+    throw invalidField(name);
   }
 
   long requiredInteger(String name) throws WireException {
     if (fields.get(name) instanceof Number number) {
       return number.longValue();
     }
-    throw wrong(name);
+    throw invalidField(name);
   }
 
-  /** A text, or a number as text. */
-  public String text(String name, String absent) {
+  /** Returns a text, or a number as text; {@code defaultValue} if the field is neither. */
+  public String text(String name, String defaultValue) {
     Object value = fields.get(name);
     if (value instanceof String text) {
       return text;
     }
-    return value instanceof Number number ? number.toString() : absent;
+    return value instanceof Number number ? number.toString() : defaultValue;
   }
 
-  /** A number. */
-  public double number(String name, double absent) {
-    return fields.get(name) instanceof Number number ? number.doubleValue() : absent;
+  /** Returns a number; {@code defaultValue} if the field is none. */
+  public double number(String name, double defaultValue) {
+    return fields.get(name) instanceof Number number ? number.doubleValue() : defaultValue;
   }
 
-  /** Whether the field is true. */
+  /** Returns whether the field is true. */
   public boolean flag(String name) {
     return Boolean.TRUE.equals(fields.get(name));
   }
 
-  /** The nested object of this name, an empty one where it is absent. */
+  /** Returns the nested object of this name; an empty one if it is absent. */
   public Message nested(String name) {
     return fields.get(name) instanceof Message message ? message : new Message(Map.of());
   }
 
-  /** A nested object that must be there. */
+  /** Returns a required nested object. */
   public Message requiredNested(String name) throws WireException {
     if (fields.get(name) instanceof Message message) {
       return message;
     }
-    throw wrong(name);
+    throw invalidField(name);
   }
 
-  /** The names of its fields. */
+  /** Returns the names of the fields. */
   public Set<String> names() {
     return Set.copyOf(fields.keySet());
   }
 
-  /** Whether a field is there and not null. */
+  /** Returns whether a field is present and not null. */
   public boolean has(String name) {
     return fields.get(name) != null;
   }
 
-  /** The objects of an array, none where it is absent. */
+  /** Returns the objects of an array; none if it is absent. */
   public List<Message> objects(String name) {
     List<Message> found = new ArrayList<>();
     if (fields.get(name) instanceof List<?> list) {
@@ -164,16 +164,16 @@
     return found;
   }
 
-  /** The objects of an array that must be there and hold nothing else. */
+  /** Returns the objects of a required array that contains nothing else. */
   public List<Message> requiredObjects(String name) throws WireException {
     List<Message> found = objects(name);
     if (fields.get(name) instanceof List<?> list && list.size() == found.size()) {
       return found;
     }
-    throw wrong(name);
+    throw invalidField(name);
   }
 
-  /** The texts of an array, none where it is absent. */
+  /** Returns the elements of an array as texts; none if it is absent. */
   public List<String> texts(String name) {
     List<String> found = new ArrayList<>();
     if (fields.get(name) instanceof List<?> list) {
--- a/src/main/java/beamspread/sim/Dialect.java
+++ b/src/main/java/beamspread/sim/MessageConverter.java
@@ -9,23 +9,23 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Turns the wire's words into values of the model. */
-public final class Dialect {
-  private Dialect() {}
+/** Converts messages of the simulator's protocol into values of the model. */
+public final class MessageConverter {
+  private MessageConverter() {}
 
-  /** The settings that an instance is told, in the simulator and in the real node alike. */
-  public static Settings settings(Message conf) throws WireException {
-    Message caps = conf.nested("caps");
-    Message contract = conf.nested("contract");
-    Message prices = conf.nested("prices");
-    Message family = conf.nested("family-info");
-    List<String> kinds = conf.texts("kinds");
+  /** Reads an instance's settings; the simulator and the node use the same format. */
+  public static Settings settings(Message configuration) throws WireException {
+    Message caps = configuration.nested("caps");
+    Message contract = configuration.nested("contract");
+    Message prices = configuration.nested("prices");
+    Message family = configuration.nested("family-info");
+    List<String> kinds = configuration.texts("kinds");
     List<Settings.ServiceClass> services = new ArrayList<>();
-    for (Message service : conf.objects("services")) {
+    for (Message service : configuration.objects("services")) {
       services.add(serviceClass(service));
     }
     List<Settings.Tenant> tenants = new ArrayList<>();
-    for (Message tenant : conf.objects("tenants")) {
+    for (Message tenant : configuration.objects("tenants")) {
       tenants.add(
           new Settings.Tenant(
               tenant.requiredText("name"),
@@ -34,13 +34,13 @@
     }
     int origin = (int) family.number("origin-kind", -1);
     return new Settings(
-        conf.text("zone", ""),
-        conf.texts("azs"),
+        configuration.text("zone", ""),
+        configuration.texts("azs"),
         kinds,
-        (int) conf.number("my-number", 0),
-        Math.max(1, (int) conf.number("instances", 1)),
-        conf.text("discovery", "push").equals("ask"),
-        switch (conf.text("weight-kind", "silent")) {
+        (int) configuration.number("my-number", 0),
+        Math.max(1, (int) configuration.number("instances", 1)),
+        configuration.text("discovery", "push").equals("ask"),
+        switch (configuration.text("weight-kind", "silent")) {
           case "nominal" -> Settings.Weights.NOMINAL;
           case "rough" -> Settings.Weights.ROUGH;
           case "live" -> Settings.Weights.LIVE;
@@ -83,9 +83,9 @@
             prices.number("discovery", 0)),
         List.copyOf(services),
         List.copyOf(tenants),
-        conf.number("over-share-worth", 1),
-        conf.number("period", 0),
-        Settings.Spread.USUAL);
+        configuration.number("over-share-worth", 1),
+        configuration.number("period", 0),
+        Settings.Spread.DEFAULT);
   }
 
   private static Settings.ServiceClass serviceClass(Message service) throws WireException {
@@ -112,27 +112,27 @@
 
   static MembershipUpdate membership(Message event) throws WireException {
     List<ServerEntry> entries = new ArrayList<>();
-    for (Message line : event.objects("lines")) {
+    for (Message entry : event.objects("lines")) {
       entries.add(
           new ServerEntry(
-              line.requiredInteger("server"),
-              line.text("zone", ""),
-              line.text("machine", ""),
-              (int) line.number("unit-group", 0),
-              switch (line.text("health", "ready")) {
+              entry.requiredInteger("server"),
+              entry.text("zone", ""),
+              entry.text("machine", ""),
+              (int) entry.number("unit-group", 0),
+              switch (entry.text("health", "ready")) {
                 case "ready" -> ServerEntry.State.READY;
                 case "gone" -> ServerEntry.State.GONE;
                 default -> ServerEntry.State.DRAINING;
               },
-              line.number("heft", 1),
-              line.number("up-since", 0)));
+              entry.number("heft", 1),
+              entry.number("up-since", 0)));
     }
     String form = event.requiredText("form");
     return new MembershipUpdate(
         switch (form) {
           case "delta" -> MembershipUpdate.Kind.CHANGES;
           case "full" -> MembershipUpdate.Kind.FULL;
-          case "cached" -> MembershipUpdate.Kind.REMEMBERED;
+          case "cached" -> MembershipUpdate.Kind.CACHED;
           case "failed" -> MembershipUpdate.Kind.FAILED;
           default -> throw new WireException("SYNC message with unknown form '" + form + "'");
         },
@@ -190,15 +190,15 @@
     if (!event.has("pressure")) {
       return null;
     }
-    Message pressure = event.nested("pressure");
+    Message report = event.nested("pressure");
     return new LoadReport(
-        pressure.number("active", Double.NaN),
-        pressure.number("waiting", Double.NaN),
-        pressure.number("cpu", Double.NaN),
-        pressure.number("avg_ms", Double.NaN),
-        pressure.number("rps", Double.NaN),
-        pressure.number("err_rps", Double.NaN),
-        pressure.number("x0", Double.NaN),
-        pressure.number("x1", Double.NaN));
+        report.number("active", Double.NaN),
+        report.number("waiting", Double.NaN),
+        report.number("cpu", Double.NaN),
+        report.number("avg_ms", Double.NaN),
+        report.number("rps", Double.NaN),
+        report.number("err_rps", Double.NaN),
+        report.number("x0", Double.NaN),
+        report.number("x1", Double.NaN));
   }
 }
--- a/src/main/java/beamspread/sim/SimHost.java
+++ b/src/main/java/beamspread/sim/SimHost.java
@@ -14,20 +14,20 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Hosts many balancers on the simulator's wire; they share nothing. */
+/** Runs many independent balancers that communicate with the simulator over a stream. */
 public final class SimHost {
-  /** A balancer and the writer that carries its actions out. */
+  /** A balancer and the writer of its actions. */
   private record Instance(Balancer balancer, ActionWriter actions) {}
 
   private final BufferedReader in;
   private final JsonGenerator out;
   private final Map<Long, Instance> instances = new HashMap<>();
   private boolean inBatch;
-  private boolean sawBatch;
+  private boolean hasSeenBatch;
   private double now;
   private long sequence;
 
-  /** A host that reads batches from {@code in} and writes replies to {@code out}. */
+  /** Creates a host that reads batches from {@code in} and writes replies to {@code out}. */
   public SimHost(InputStream in, OutputStream out) throws IOException {
     this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
     this.out = new JsonFactory().createGenerator(out, JsonEncoding.UTF8);
@@ -36,27 +36,27 @@
 
   /** Answers batches until the input ends. */
   public void run() throws IOException, WireException {
-    long number = 0;
+    long lineNumber = 0;
     for (String line = in.readLine(); line != null; line = in.readLine()) {
-      number++;
+      lineNumber++;
       if (line.isBlank()) {
         continue;
       }
       try {
         handle(Message.parse(line));
       } catch (WireException e) {
-        throw new WireException("line " + number + ": " + e.getMessage());
+        throw new WireException("line " + lineNumber + ": " + e.getMessage());
       }
     }
     if (inBatch) {
-      throw new WireException("line " + number + ": input ends inside a batch");
+      throw new WireException("line " + lineNumber + ": input ends inside a batch");
     }
   }
 
   private void handle(Message message) throws IOException, WireException {
     String type = message.requiredText("type");
     if (type.equals("BATCH")) {
-      begin(message);
+      beginBatch(message);
       return;
     }
     if (!inBatch) {
@@ -72,90 +72,91 @@
       out.flush();
       return;
     }
-    event(type, message);
+    handleEvent(type, message);
   }
 
-  private void begin(Message message) throws WireException {
+  private void beginBatch(Message message) throws WireException {
     if (inBatch) {
       throw new WireException("BATCH message inside a batch");
     }
     double time = message.requiredNumber("time");
     long seq = message.requiredInteger("seq");
-    if (sawBatch && (time < now || seq <= sequence)) {
+    if (hasSeenBatch && (time < now || seq <= sequence)) {
       throw new WireException("BATCH message out of order");
     }
     now = time;
     sequence = seq;
     inBatch = true;
-    sawBatch = true;
+    hasSeenBatch = true;
   }
 
-  private void event(String type, Message message) throws WireException {
-    long number = message.requiredInteger("i");
+  private void handleEvent(String type, Message message) throws WireException {
+    long instanceId = message.requiredInteger("i");
     if (type.equals("LAUNCH")) {
       long seed = message.requiredInteger("nonce64");
-      ActionWriter actions = new ActionWriter(out, number);
-      var settings = Dialect.settings(message.requiredNested("conf"));
-      guarded(
+      ActionWriter actions = new ActionWriter(out, instanceId);
+      var settings = MessageConverter.settings(message.requiredNested("conf"));
+      runGuarded(
           actions,
           () ->
-              instances.put(number, new Instance(new Balancer(settings, seed, actions), actions)));
+              instances.put(
+                  instanceId, new Instance(new Balancer(settings, seed, actions), actions)));
       return;
     }
-    Instance instance = instances.get(number);
+    Instance instance = instances.get(instanceId);
     if (instance == null) {
-      throw new WireException(type + " message for unknown instance " + number);
+      throw new WireException(type + " message for unknown instance " + instanceId);
     }
     Balancer balancer = instance.balancer();
     ActionWriter actions = instance.actions();
     switch (type) {
-      case "DETACH" -> instances.remove(number);
+      case "DETACH" -> instances.remove(instanceId);
       case "SYNC" -> {
-        var update = Dialect.membership(message);
-        guarded(actions, () -> balancer.membership(now, update));
+        var update = MessageConverter.membership(message);
+        runGuarded(actions, () -> balancer.onMembershipUpdate(now, update));
       }
       case "REQUEST" -> {
-        var request = Dialect.request(message);
-        guarded(actions, () -> balancer.request(now, request));
+        var request = MessageConverter.request(message);
+        runGuarded(actions, () -> balancer.onRequest(now, request));
       }
       case "FLOWING" -> {
         String id = message.requiredText("handle");
         int attempt = (int) message.number("trial", 0);
-        guarded(actions, () -> balancer.streamStarted(now, id, attempt));
+        runGuarded(actions, () -> balancer.onStreamStarted(now, id, attempt));
       }
       case "FINISHED" -> {
-        var outcome = Dialect.outcome(message);
-        guarded(actions, () -> balancer.outcome(now, outcome));
+        var outcome = MessageConverter.outcome(message);
+        runGuarded(actions, () -> balancer.onOutcome(now, outcome));
       }
       case "DROPPED" -> {
         String id = message.requiredText("handle");
-        guarded(actions, () -> balancer.clientGone(now, id));
+        runGuarded(actions, () -> balancer.onClientGone(now, id));
       }
       case "DEADLINE_HIT" -> {
         long token = message.requiredInteger("key-back");
-        guarded(actions, () -> balancer.timer(now, token));
+        runGuarded(actions, () -> balancer.onTimer(now, token));
       }
       case "HEALTH_RESULT" -> {
-        // Checked for form only: no probe is sent, requests themselves are the trials.
+        // Only the format is checked: balancers send no probes and use requests as trials.
         message.requiredInteger("server");
-        Dialect.result(message);
-        Dialect.load(message);
+        MessageConverter.result(message);
+        MessageConverter.load(message);
       }
       case "WHISPER" -> {
-        // Nothing is said among balancers: each decides by what it sees.
+        // Balancers don't exchange messages; only the format is checked.
         message.requiredInteger("by");
       }
       default -> throw new WireException("unknown message type '" + type + "'");
     }
   }
 
-  /** Reports an exception inside the decision code as the wire provides. */
-  private static void guarded(ActionWriter actions, Runnable step) {
+  /** Runs a step of a balancer and reports its exceptions in the protocol. */
+  private static void runGuarded(ActionWriter actions, Runnable step) {
     try {
       step.run();
     } catch (RuntimeException e) {
       StackTraceElement[] trace = e.getStackTrace();
-      actions.exception(e + (trace.length > 0 ? " at " + trace[0] : ""));
+      actions.writeException(e + (trace.length > 0 ? " at " + trace[0] : ""));
     }
   }
 }
--- a/src/main/java/beamspread/sim/WireException.java
+++ b/src/main/java/beamspread/sim/WireException.java
@@ -1,10 +1,10 @@
 package beamspread.sim;
 
-/** The input broke the wire's rules; the message names the line and what is wrong with it. */
+/** Thrown if the input violates the protocol; the message names the line and the error. */
 public final class WireException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  /** Says what is wrong with the input. */
+  /** Creates an exception with a description of the error. */
   public WireException(String message) {
     super(message);
   }
--- a/src/test/java/beamspread/maintenance/DetachmentsTest.java
+++ b/src/test/java/beamspread/maintenance/DetachmentsTest.java
@@ -38,7 +38,7 @@
     told(Kind.FULL, ready(1), ready(2));
     assertThat(detachments.detach(1).state()).isEqualTo(ServerEntry.State.DRAINING);
     assertThat(detachments.avoided()).isEqualTo(1);
-    for (Kind kind : List.of(Kind.FULL, Kind.CHANGES, Kind.REMEMBERED)) {
+    for (Kind kind : List.of(Kind.FULL, Kind.CHANGES, Kind.CACHED)) {
       // Restarted meanwhile, says the list: it stays out.
       assertThat(told(kind, line(1, ServerEntry.State.READY, 90)))
           .containsExactly(line(1, ServerEntry.State.DRAINING, 90));
--- a/src/test/java/beamspread/node/DiscoveryPaceTest.java
+++ b/src/test/java/beamspread/node/DiscoveryPaceTest.java
@@ -29,7 +29,7 @@
             good.tenants(),
             1,
             0,
-            Settings.Spread.USUAL);
+            Settings.Spread.DEFAULT);
     String empty = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
     try (Peers.Server down = new Peers.Server(line -> line.startsWith("GET ") ? empty : null)) {
       Node node = Peers.node(blank, down);
--- a/src/test/java/beamspread/node/Peers.java
+++ b/src/test/java/beamspread/node/Peers.java
@@ -390,7 +390,7 @@
         List.of(),
         1,
         0.005,
-        Settings.Spread.USUAL);
+        Settings.Spread.DEFAULT);
   }
 
   static Settings.ServiceClass service(String name, Settings.Effect effect) {
--- a/src/test/java/beamspread/node/handover/SharedFolderTest.java
+++ b/src/test/java/beamspread/node/handover/SharedFolderTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import beamspread.model.Learnt;
+import beamspread.model.LearnedState;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -63,7 +63,7 @@
 
   @Test
   void aNoteIsReadWholeWhileItIsFreshAndNonsenseIsNone() throws IOException {
-    Learnt learnt = new Learnt(7.5, 180, 300, Map.of(-5L, 0.25, 6L, 1.0));
+    LearnedState learnt = new LearnedState(7.5, 180, 300, Map.of(-5L, 0.25, 6L, 1.0));
     byte[] note = LearntNote.write(1000, learnt);
     try (SharedFolder folder = SharedFolder.open(temporary.resolve("node"))) {
       assertThat(folder.learnt()).isNull();
@@ -84,8 +84,9 @@
             "")) {
       assertThat(LearntNote.read(1000, bad.getBytes(StandardCharsets.UTF_8))).as(bad).isNull();
     }
-    assertThat(LearntNote.write(1, new Learnt(1, Double.POSITIVE_INFINITY, 1, Map.of()))).isNull();
-    assertThat(LearntNote.write(1, new Learnt(0, 1, 1, Map.of()))).isNull();
+    assertThat(LearntNote.write(1, new LearnedState(1, Double.POSITIVE_INFINITY, 1, Map.of())))
+        .isNull();
+    assertThat(LearntNote.write(1, new LearnedState(0, 1, 1, Map.of()))).isNull();
   }
 
   @Test
--- a/src/test/java/beamspread/node/mgmt/MgmtServerTest.java
+++ b/src/test/java/beamspread/node/mgmt/MgmtServerTest.java
@@ -41,7 +41,7 @@
     MgmtCalls calls =
         new MgmtCalls() {
           @Override
-          public boolean ready() {
+          public boolean isReady() {
             return true;
           }
 
--- a/src/test/java/beamspread/policy/Rig.java
+++ b/src/test/java/beamspread/policy/BalancerFixtures.java
@@ -8,81 +8,81 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Builds small worlds for tests: settings, servers, and a recorder of actions. */
-final class Rig {
+/** Builds settings, servers, requests and outcomes for tests, and records actions. */
+final class BalancerFixtures {
   /** One recorded action. */
-  record Act(String what, String id, long number, double value) {}
+  record Action(String kind, String requestId, long number, double value) {}
 
-  /** Writes every action down. */
+  /** Records every action. */
   static class Recorder implements Actions {
-    final List<Act> acts = new ArrayList<>();
+    final List<Action> recorded = new ArrayList<>();
 
     @Override
     public void send(String requestId, long server, double timeout) {
-      acts.add(new Act("send", requestId, server, timeout));
+      recorded.add(new Action("send", requestId, server, timeout));
     }
 
     @Override
     public void cancel(String requestId, int attempt) {
-      acts.add(new Act("cancel", requestId, attempt, 0));
+      recorded.add(new Action("cancel", requestId, attempt, 0));
     }
 
     @Override
     public void refuse(String requestId, double retryAfter) {
-      acts.add(new Act("refuse", requestId, 0, retryAfter));
+      recorded.add(new Action("refuse", requestId, 0, retryAfter));
     }
 
     @Override
     public void fail(String requestId) {
-      acts.add(new Act("fail", requestId, 0, 0));
+      recorded.add(new Action("fail", requestId, 0, 0));
     }
 
     @Override
-    public void wake(long token, double delay) {
-      acts.add(new Act("wake", "", token, delay));
+    public void setTimer(long token, double delay) {
+      recorded.add(new Action("wake", "", token, delay));
     }
 
     @Override
     public void subscribe(boolean on) {
-      acts.add(new Act("subscribe", "", on ? 1 : 0, 0));
+      recorded.add(new Action("subscribe", "", on ? 1 : 0, 0));
     }
 
     @Override
     public void closeIdle(long server) {
-      acts.add(new Act("closeIdle", "", server, 0));
+      recorded.add(new Action("closeIdle", "", server, 0));
     }
 
-    List<Act> of(String what) {
-      return acts.stream().filter(a -> a.what().equals(what)).toList();
+    List<Action> ofKind(String kind) {
+      return recorded.stream().filter(a -> a.kind().equals(kind)).toList();
     }
   }
 
-  private Rig() {}
+  private BalancerFixtures() {}
 
-  static Settings settings(boolean asks, int maxAttempts, boolean parallel) {
+  static Settings settings(boolean callsForList, int maxAttempts, boolean parallelAttempts) {
     return settings(
-        asks,
+        callsForList,
         new Settings.Limits(
-            maxAttempts, parallel, true, false, false, false, 1, 0.1, 60, 32, 20000));
+            maxAttempts, parallelAttempts, true, false, false, false, 1, 0.1, 60, 32, 20000));
   }
 
-  static Settings settings(boolean asks, Settings.Limits limits) {
-    return settings(asks, limits, 4, Settings.Spread.USUAL);
+  static Settings settings(boolean callsForList, Settings.Limits limits) {
+    return settings(callsForList, limits, 4, Settings.Spread.DEFAULT);
   }
 
   static Settings settings(int instances, Settings.Spread spread) {
     return settings(false, settings(false, 6, true).limits(), instances, spread);
   }
 
-  /** The settings of the balancer of this number. */
-  static Settings numbered(Settings settings, int number) {
+  /** Returns the settings of the instance with this number. */
+  static Settings withInstanceNumber(Settings settings, int number) {
     return with(settings, number, settings.contract());
   }
 
-  /** Settings of a fleet that asks for its list, as seldom as this. */
-  static Settings asking(int instances, double askWithin) {
+  /** Returns the settings of a fleet that calls for its list, at least this often. */
+  static Settings callingForList(int instances, double askWithin) {
     Settings settings =
-        settings(true, settings(false, 6, true).limits(), instances, Settings.Spread.USUAL);
+        settings(true, settings(false, 6, true).limits(), instances, Settings.Spread.DEFAULT);
     Settings.Contract contract = settings.contract();
     return with(
         settings,
@@ -104,7 +104,7 @@
         settings.kinds(),
         number,
         settings.instances(),
-        settings.asksForList(),
+        settings.callsForList(),
         settings.weights(),
         settings.cache(),
         settings.limits(),
@@ -113,19 +113,19 @@
         settings.services(),
         settings.tenants(),
         settings.overShareWorth(),
-        settings.tick(),
+        settings.tickSeconds(),
         settings.spread());
   }
 
   private static Settings settings(
-      boolean asks, Settings.Limits limits, int instances, Settings.Spread spread) {
+      boolean callsForList, Settings.Limits limits, int instances, Settings.Spread spread) {
     return new Settings(
         "a",
         List.of("a", "b"),
         List.of("box"),
         0,
         instances,
-        asks,
+        callsForList,
         Settings.Weights.NONE,
         new Settings.CacheMode(false, null, 0, 0),
         limits,
@@ -156,20 +156,21 @@
     return new ServerEntry(id, id % 2 == 0 ? "a" : "b", "box", (int) id % 3, state, 1, startedAt);
   }
 
-  static MembershipUpdate list(MembershipUpdate.Kind kind, List<ServerEntry> entries) {
+  static MembershipUpdate update(MembershipUpdate.Kind kind, List<ServerEntry> entries) {
     return new MembershipUpdate(kind, 1, entries);
   }
 
-  static MembershipUpdate fleet(int size) {
+  static MembershipUpdate cachedList(int size) {
     List<ServerEntry> entries = new ArrayList<>();
     for (long id = 1; id <= size; id++) {
       entries.add(server(id));
     }
-    return list(MembershipUpdate.Kind.REMEMBERED, entries);
+    return update(MembershipUpdate.Kind.CACHED, entries);
   }
 
-  static Request request(String id, String key, String type, double budget) {
-    return new Request(id, key, type, null, budget, 0, 0, false, !type.equals("safe"));
+  static Request request(String id, String key, String serviceClass, double budget) {
+    return new Request(
+        id, key, serviceClass, null, budget, 0, 0, false, !serviceClass.equals("safe"));
   }
 
   static Outcome outcome(String id, int attempt, long server, Outcome.Result result) {
