--- a/src/test/java/beamspread/policy/LargeFleetTest.java
+++ b/src/test/java/beamspread/policy/LargeFleetTest.java
@@ -16,51 +16,56 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** One balancer of a large tier: sixty servers, each of which it sees about once a second. */
+/** One balancer of a large tier: it sends about one request per second to each of 60 servers. */
 class LargeFleetTest {
   private static final int SERVERS = 60;
-  private static final int RATE = 60;
+  private static final int REQUESTS_PER_SECOND = 60;
 
-  private final Rig.Recorder actions = new Rig.Recorder();
+  private final BalancerFixtures.Recorder actions = new BalancerFixtures.Recorder();
   private final Balancer balancer =
-      new Balancer(Rig.settings(14, Settings.Spread.USUAL), 1, actions);
+      new Balancer(BalancerFixtures.settings(14, Settings.Spread.DEFAULT), 1, actions);
 
-  /** A fetch that is out, and when it ends. */
-  private record Out(Rig.Act sent, double ends) {}
+  /** A fetch in flight and the time at which it ends. */
+  private record FetchInFlight(BalancerFixtures.Action sent, double endsAt) {}
 
-  private final ArrayDeque<Out> out = new ArrayDeque<>();
-  private int seen;
+  private final ArrayDeque<FetchInFlight> fetchesInFlight = new ArrayDeque<>();
+  private int collected;
 
-  private void collect(double now) {
-    for (; seen < actions.acts.size(); seen++) {
-      if (actions.acts.get(seen).what().equals("send")) {
-        out.add(new Out(actions.acts.get(seen), now + 0.2));
+  private void collectSends(double now) {
+    for (; collected < actions.recorded.size(); collected++) {
+      if (actions.recorded.get(collected).kind().equals("send")) {
+        fetchesInFlight.add(new FetchInFlight(actions.recorded.get(collected), now + 0.2));
       }
     }
   }
 
-  /** A second of requests for keys never seen; each fetch takes a fifth of one. */
-  private int second(double from, SplittableRandom random, double lost, Set<Long> broken) {
-    int before = actions.of("send").size();
-    for (int i = 0; i < RATE; i++) {
-      double now = from + (double) i / RATE;
+  /** Runs one second of requests for new keys, with fetches of 0.2 s; returns the sends. */
+  private int runSecond(
+      double from, SplittableRandom random, double failureRate, Set<Long> failingServers) {
+    int before = actions.ofKind("send").size();
+    for (int i = 0; i < REQUESTS_PER_SECOND; i++) {
+      double now = from + (double) i / REQUESTS_PER_SECOND;
       String id = "r" + from + "-" + i;
-      balancer.request(now, Rig.request(id, id, "safe", 1));
-      collect(now);
-      while (!out.isEmpty() && out.peek().ends() <= now) {
-        end(now, out.remove().sent(), random, lost, broken);
+      balancer.onRequest(now, BalancerFixtures.request(id, id, "safe", 1));
+      collectSends(now);
+      while (!fetchesInFlight.isEmpty() && fetchesInFlight.peek().endsAt() <= now) {
+        endFetch(now, fetchesInFlight.remove().sent(), random, failureRate, failingServers);
       }
     }
-    return actions.of("send").size() - before;
+    return actions.ofKind("send").size() - before;
   }
 
-  private void end(
-      double now, Rig.Act sent, SplittableRandom random, double lost, Set<Long> broken) {
-    boolean fails = broken.contains(sent.number()) || random.nextDouble() < lost;
-    balancer.outcome(
+  private void endFetch(
+      double now,
+      BalancerFixtures.Action sent,
+      SplittableRandom random,
+      double failureRate,
+      Set<Long> failingServers) {
+    boolean fails = failingServers.contains(sent.number()) || random.nextDouble() < failureRate;
+    balancer.onOutcome(
         now,
         new Outcome(
-            sent.id(),
+            sent.requestId(),
             0,
             sent.number(),
             fails ? Outcome.Result.ERROR : Outcome.Result.OK,
@@ -68,114 +73,123 @@
             true,
             fails ? Outcome.Note.NONE : Outcome.Note.MISS,
             null));
-    collect(now);
+    collectSends(now);
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5})
-  void anOriginThatLosesFetchesIsNoticedWithinThreeSeconds(long seed) {
+  void failuresOfTheOriginAreDetectedWithinThreeSeconds(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    balancer.membership(100, Rig.fleet(SERVERS));
+    balancer.onMembershipUpdate(100, BalancerFixtures.cachedList(SERVERS));
     for (int s = 0; s < 5; s++) {
-      assertEquals(RATE, second(100 + s, random, 0.02, Set.of()), "calm, seed " + seed);
+      assertEquals(
+          REQUESTS_PER_SECOND, runSecond(100 + s, random, 0.02, Set.of()), "calm, seed " + seed);
     }
     for (int s = 5; s < 8; s++) {
-      second(100 + s, random, 0.4, Set.of());
+      runSecond(100 + s, random, 0.4, Set.of());
     }
-    int sent = second(108, random, 0.4, Set.of());
-    assertTrue(sent < RATE * 2 / 3, sent + " fetches went on, seed " + seed);
+    int sent = runSecond(108, random, 0.4, Set.of());
+    assertTrue(sent < REQUESTS_PER_SECOND * 2 / 3, sent + " fetches sent, seed " + seed);
   }
 
-  /** A third of them at once looks like the origin at first; it does not for long. */
+  /** Failures at a third of the servers look like a failing origin at first, but not for long. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5})
-  void serversThatLoseFetchesByThemselvesShutNoOthersOffForLong(long seed) {
+  void failuresOfSomeServersDontLimitTheOthersForLong(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    Set<Long> broken = new HashSet<>();
+    Set<Long> failingServers = new HashSet<>();
     for (long id = 1; id <= SERVERS / 3; id++) {
-      broken.add(id);
+      failingServers.add(id);
     }
-    balancer.membership(100, Rig.fleet(SERVERS));
+    balancer.onMembershipUpdate(100, BalancerFixtures.cachedList(SERVERS));
     for (int s = 0; s < 15; s++) {
-      int sent = second(100 + s, random, 0.02, broken);
-      assertTrue(s < 11 || sent > RATE * 9 / 10, sent + " in second " + s + ", seed " + seed);
+      int sent = runSecond(100 + s, random, 0.02, failingServers);
+      assertTrue(
+          s < 11 || sent > REQUESTS_PER_SECOND * 9 / 10,
+          sent + " in second " + s + ", seed " + seed);
     }
   }
 
   @Test
-  void aRushOfReadsLeavesPlacesToWrites() {
-    Settings settings = Rig.settings(14, Settings.Spread.USUAL);
-    Balancer one = new Balancer(settings.with(settings.limits().open(96)), 1, actions);
-    one.membership(100, Rig.fleet(SERVERS));
+  void aBurstOfReadsLeavesCapacityForWrites() {
+    Settings settings = BalancerFixtures.settings(14, Settings.Spread.DEFAULT);
+    Balancer balancerUnderTest =
+        new Balancer(settings.withLimits(settings.limits().withMaxOpen(96)), 1, actions);
+    balancerUnderTest.onMembershipUpdate(100, BalancerFixtures.cachedList(SERVERS));
     for (int i = 0; i < 200; i++) {
-      one.request(100, Rig.request("r" + i, "k" + i, "safe", 1));
+      balancerUnderTest.onRequest(100, BalancerFixtures.request("r" + i, "k" + i, "safe", 1));
     }
-    assertEquals(84, actions.of("send").size());
-    assertEquals(116, actions.of("refuse").size(), "at once");
+    assertEquals(84, actions.ofKind("send").size());
+    assertEquals(116, actions.ofKind("refuse").size(), "at once");
     for (int i = 0; i < 20; i++) {
-      one.request(100, Rig.request("w" + i, "k" + i, "unsafe", 1));
+      balancerUnderTest.onRequest(100, BalancerFixtures.request("w" + i, "k" + i, "unsafe", 1));
     }
-    assertEquals(96, actions.of("send").size());
-    assertEquals(124, actions.of("refuse").size(), "at once");
+    assertEquals(96, actions.ofKind("send").size());
+    assertEquals(124, actions.ofKind("refuse").size(), "at once");
   }
 
-  /** How many servers get the requests of keys that this node sees so often in five seconds. */
-  private double homes(int sightings) {
-    Rig.Recorder told = new Rig.Recorder();
-    Balancer one = new Balancer(Rig.settings(100, Settings.Spread.USUAL), 1, told);
-    one.membership(100, Rig.fleet(SERVERS));
-    int keys = 50 / sightings;
-    Map<String, Set<Long>> homes = new HashMap<>();
-    for (int i = 0; i < keys * sightings; i++) {
+  /** Returns the mean number of servers for a key that is requested this often in five seconds. */
+  private double meanServersPerKey(int requestsPerKey) {
+    BalancerFixtures.Recorder recorder = new BalancerFixtures.Recorder();
+    Balancer balancerUnderTest =
+        new Balancer(BalancerFixtures.settings(100, Settings.Spread.DEFAULT), 1, recorder);
+    balancerUnderTest.onMembershipUpdate(100, BalancerFixtures.cachedList(SERVERS));
+    int keys = 50 / requestsPerKey;
+    Map<String, Set<Long>> serversByKey = new HashMap<>();
+    for (int i = 0; i < keys * requestsPerKey; i++) {
       double now = 100 + i * 0.1;
       String key = "key" + i % keys;
-      one.request(now, Rig.request("r" + i, key, "safe", 1));
-      Rig.Act sent = told.of("send").get(i);
-      homes.computeIfAbsent(key, any -> new HashSet<>()).add(sent.number());
-      one.outcome(now + 0.01, answer(sent, 0, false));
+      balancerUnderTest.onRequest(now, BalancerFixtures.request("r" + i, key, "safe", 1));
+      BalancerFixtures.Action sent = recorder.ofKind("send").get(i);
+      serversByKey.computeIfAbsent(key, any -> new HashSet<>()).add(sent.number());
+      balancerUnderTest.onOutcome(now + 0.01, outcome(sent, 0, false));
     }
-    return homes.values().stream().mapToInt(Set::size).average().orElseThrow();
+    return serversByKey.values().stream().mapToInt(Set::size).average().orElseThrow();
   }
 
-  /** Of fifty requests each key has a share: only what comes again and again is hot. */
+  /** With few requests in total even one gives a key a large share; it must not count as hot. */
   @Test
-  void aNodeThatSeesLittleTakesNoKeyForHotThatItSeesOnce() {
-    // Seen twice each, in five seconds, by one of a hundred nodes: two homes at the most.
-    assertEquals(1, homes(1));
-    assertTrue(homes(2) <= 1.5, "seen twice: " + homes(2));
-    assertTrue(homes(25) >= 5, "half of all requests: " + homes(25));
+  void withLittleTrafficAKeyRequestedOnceIsNotHot() {
+    // Two requests for each key in 5 s at one of 100 nodes: at most two owners.
+    assertEquals(1, meanServersPerKey(1));
+    assertTrue(meanServersPerKey(2) <= 1.5, "seen twice: " + meanServersPerKey(2));
+    assertTrue(meanServersPerKey(25) >= 5, "half of all requests: " + meanServersPerKey(25));
   }
 
-  /** Half of the servers turn away half of what they get: seen at once, it is no one else's. */
+  /** Half of the servers reject every other request; the other servers must serve these. */
   @ParameterizedTest
   @ValueSource(ints = {4, 8, SERVERS})
-  void whatSomeServersTurnAwayTheOthersServe(int servers) {
+  void requestsRejectedBySomeServersAreServedByTheOthers(int servers) {
     for (long seed = 1; seed <= 50; seed++) {
-      Rig.Recorder told = new Rig.Recorder();
-      Balancer one = new Balancer(Rig.settings(1, Settings.Spread.USUAL), seed, told);
-      one.membership(100, Rig.fleet(servers));
-      int full = 0;
-      int done = 0;
+      BalancerFixtures.Recorder recorder = new BalancerFixtures.Recorder();
+      Balancer balancerUnderTest =
+          new Balancer(BalancerFixtures.settings(1, Settings.Spread.DEFAULT), seed, recorder);
+      balancerUnderTest.onMembershipUpdate(100, BalancerFixtures.cachedList(servers));
+      int sendsToRejecting = 0;
+      int processed = 0;
       for (int i = 0; i < 200; i++) {
         double now = 100 + i * 0.01;
         String id = "r" + seed + "-" + i;
-        one.request(now, Rig.request(id, id, "safe", 1));
-        for (int attempt = 0; done < told.acts.size(); done++) {
-          Rig.Act act = told.acts.get(done);
-          assertNotEquals("refuse", act.what(), id + " of seed " + seed);
-          if (act.what().equals("send")) {
-            boolean turnsAway = act.number() <= servers / 2 && full++ % 2 == 0;
-            one.outcome(now, answer(act, attempt++, turnsAway));
+        balancerUnderTest.onRequest(now, BalancerFixtures.request(id, id, "safe", 1));
+        for (int attempt = 0; processed < recorder.recorded.size(); processed++) {
+          BalancerFixtures.Action action = recorder.recorded.get(processed);
+          assertNotEquals("refuse", action.kind(), id + " of seed " + seed);
+          if (action.kind().equals("send")) {
+            boolean rejects = action.number() <= servers / 2 && sendsToRejecting++ % 2 == 0;
+            balancerUnderTest.onOutcome(now, outcome(action, attempt++, rejects));
           }
         }
       }
-      assertTrue(full > 20, full + " came there, seed " + seed);
+      assertTrue(
+          sendsToRejecting > 20,
+          sendsToRejecting + " requests at the rejecting servers, seed " + seed);
     }
   }
 
-  private static Outcome answer(Rig.Act sent, int attempt, boolean turnsAway) {
-    Outcome.Result result = turnsAway ? Outcome.Result.FULL : Outcome.Result.OK;
-    Outcome.Note note = turnsAway ? Outcome.Note.NONE : Outcome.Note.HIT;
-    return new Outcome(sent.id(), attempt, sent.number(), result, 0.001, !turnsAway, note, null);
+  private static Outcome outcome(BalancerFixtures.Action sent, int attempt, boolean rejects) {
+    Outcome.Result result = rejects ? Outcome.Result.FULL : Outcome.Result.OK;
+    Outcome.Note note = rejects ? Outcome.Note.NONE : Outcome.Note.HIT;
+    return new Outcome(
+        sent.requestId(), attempt, sent.number(), result, 0.001, !rejects, note, null);
   }
 }
--- a/src/test/java/beamspread/policy/PolicySizeTest.java
+++ b/src/test/java/beamspread/policy/PolicySizeTest.java
@@ -10,9 +10,9 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** Each file of the decision module stays small enough to read, and the deploy file names all. */
+/** Limits the size of each file of the policy package and checks that the deploy file lists it. */
 class PolicySizeTest {
-  /** Lines with text that one file may have. */
+  /** Maximum number of non-blank lines in a file. */
   private static final int FILE_LIMIT = 530;
 
   @Test
--- a/src/test/java/beamspread/policy/RuleChecker.java
+++ b/src/test/java/beamspread/policy/RuleChecker.java
@@ -10,13 +10,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** Watches a balancer's actions and notes every breach of the four rules. */
-final class RuleChecker extends Rig.Recorder {
-  /** An attempt as the world knows it. */
+/** Records a balancer's actions and every violation of the four rules. */
+final class RuleChecker extends BalancerFixtures.Recorder {
+  /** An attempt, tracked independently of the balancer. */
   static final class Attempt {
     final long server;
     final double sentAt;
-    boolean out = true;
+    boolean inFlight = true;
     boolean mayHaveRun = true;
 
     Attempt(long server, double sentAt) {
@@ -25,15 +25,15 @@
     }
   }
 
-  /** A request as the world knows it. */
-  static final class Tracked {
+  /** A request, tracked independently of the balancer. */
+  static final class TrackedRequest {
     final Request request;
     final Settings.ServiceClass type;
     final double deadline;
     final List<Attempt> attempts = new ArrayList<>();
-    boolean over;
+    boolean ended;
 
-    Tracked(Request request, Settings.ServiceClass type, double deadline) {
+    TrackedRequest(Request request, Settings.ServiceClass type, double deadline) {
       this.request = request;
       this.type = type;
       this.deadline = deadline;
@@ -41,47 +41,47 @@
   }
 
   final Settings settings;
-  final Map<String, Tracked> requests = new LinkedHashMap<>();
+  final Map<String, TrackedRequest> requests = new LinkedHashMap<>();
   final Map<Long, ServerEntry> servers = new HashMap<>();
-  final List<String> breaches = new ArrayList<>();
+  final List<String> violations = new ArrayList<>();
   final Map<Long, List<Double>> coldSends = new HashMap<>();
   double now;
 
-  /** Sends a second that a warm server takes. */
+  /** Requests per second that a warm server can serve. */
   double warmRate = Double.POSITIVE_INFINITY;
 
   RuleChecker(Settings settings) {
     this.settings = settings;
   }
 
-  void arrives(Request request) {
+  void recordArrival(Request request) {
     Settings.ServiceClass type =
         settings.services().stream()
             .filter(s -> s.name().equals(request.serviceClass()))
             .findFirst()
             .orElseThrow();
-    requests.put(request.id(), new Tracked(request, type, now + request.budget()));
+    requests.put(request.id(), new TrackedRequest(request, type, now + request.budget()));
   }
 
-  void ends(String id, int attempt, Outcome.Result result) {
-    Attempt a = requests.get(id).attempts.get(attempt);
-    a.out = false;
-    a.mayHaveRun = !result.provesNotRun();
+  void recordEnd(String id, int attempt, Outcome.Result result) {
+    Attempt trackedAttempt = requests.get(id).attempts.get(attempt);
+    trackedAttempt.inFlight = false;
+    trackedAttempt.mayHaveRun = !result.provesNotRun();
     if (result == Outcome.Result.OK) {
-      requests.get(id).over = true;
+      requests.get(id).ended = true;
     }
   }
 
-  void gone(String id) {
-    requests.get(id).over = true;
+  void recordClientGone(String id) {
+    requests.get(id).ended = true;
   }
 
-  /** Notes requests that had no answer in time. */
+  /** Records a violation for each request that was not answered in time. */
   void checkDeadlines() {
-    for (Tracked t : requests.values()) {
-      if (!t.over && now > t.deadline + settings.contract().answerGrace()) {
-        breaches.add("rule 1: no answer for " + t.request.id());
-        t.over = true;
+    for (TrackedRequest tracked : requests.values()) {
+      if (!tracked.ended && now > tracked.deadline + settings.contract().answerGrace()) {
+        violations.add("rule 1: no answer for " + tracked.request.id());
+        tracked.ended = true;
       }
     }
   }
@@ -89,53 +89,53 @@
   @Override
   public void send(String requestId, long server, double timeout) {
     super.send(requestId, server, timeout);
-    Tracked t = requests.get(requestId);
-    ServerEntry to = servers.get(server);
-    if (t.over) {
-      breaches.add("rule 1: sent after its end " + requestId);
+    TrackedRequest tracked = requests.get(requestId);
+    ServerEntry target = servers.get(server);
+    if (tracked.ended) {
+      violations.add("rule 1: sent after its end " + requestId);
     }
-    if (to == null || to.state() != ServerEntry.State.READY) {
-      breaches.add("rule 3: sent to a server that is not ready");
+    if (target == null || target.state() != ServerEntry.State.READY) {
+      violations.add("rule 3: sent to a server that is not ready");
     }
-    if (t.attempts.size() >= settings.limits().maxAttempts()) {
-      breaches.add("rule 2: too many attempts");
+    if (tracked.attempts.size() >= settings.limits().maxAttempts()) {
+      violations.add("rule 2: too many attempts");
     }
     Attempt first = null;
-    for (Attempt a : t.attempts) {
-      if (a.out && !settings.limits().parallelAttempts()) {
-        breaches.add("rule 2: two attempts out together");
+    for (Attempt trackedAttempt : tracked.attempts) {
+      if (trackedAttempt.inFlight && !settings.limits().parallelAttempts()) {
+        violations.add("rule 2: two attempts out together");
       }
-      if (first == null && (a.out || a.mayHaveRun)) {
-        first = a;
+      if (first == null && (trackedAttempt.inFlight || trackedAttempt.mayHaveRun)) {
+        first = trackedAttempt;
       }
     }
-    if (first != null && to != null) {
-      if (t.type.effect() == Settings.Effect.UNSAFE) {
-        breaches.add("rule 2: unsafe request sent again");
-      } else if (t.type.effect() == Settings.Effect.KEYED) {
-        ServerEntry was = servers.get(first.server);
-        boolean same =
-            switch (t.type.group()) {
+    if (first != null && target != null) {
+      if (tracked.type.effect() == Settings.Effect.UNSAFE) {
+        violations.add("rule 2: unsafe request sent again");
+      } else if (tracked.type.effect() == Settings.Effect.KEYED) {
+        ServerEntry firstServer = servers.get(first.server);
+        boolean sameGroup =
+            switch (tracked.type.group()) {
               case ALL -> true;
-              case ZONE -> was != null && was.zone().equals(to.zone());
-              case CELL -> was != null && was.cell() == to.cell();
+              case ZONE -> firstServer != null && firstServer.zone().equals(target.zone());
+              case CELL -> firstServer != null && firstServer.cell() == target.cell();
             };
-        if (!same || now > first.sentAt + t.type.repeatWindow()) {
-          breaches.add("rule 2: keyed request sent where or when repeats are not dropped");
+        if (!sameGroup || now > first.sentAt + tracked.type.repeatWindow()) {
+          violations.add("rule 2: keyed request sent where or when repeats are not dropped");
         }
       }
     }
-    t.attempts.add(new Attempt(server, now));
+    tracked.attempts.add(new Attempt(server, now));
     double warmWithin = settings.contract().warmWithin();
-    if (to != null && to.startedAt() > 0 && now - to.startedAt() < warmWithin) {
+    if (target != null && target.startedAt() > 0 && now - target.startedAt() < warmWithin) {
       List<Double> sends = coldSends.computeIfAbsent(server, s -> new ArrayList<>());
       sends.add(now);
       double window = settings.contract().overloadFor();
-      double from = settings.contract().coldFrom();
-      double warmth = from + (1 - from) * (now - to.startedAt()) / warmWithin;
-      long recent = sends.stream().filter(at -> at > now - window).count();
-      if (recent > settings.contract().overloadFactor() * warmth * warmRate * window + 2) {
-        breaches.add("rule 4: cold server pushed over");
+      double coldCapacity = settings.contract().coldFrom();
+      double warmth = coldCapacity + (1 - coldCapacity) * (now - target.startedAt()) / warmWithin;
+      long sendsInWindow = sends.stream().filter(at -> at > now - window).count();
+      if (sendsInWindow > settings.contract().overloadFactor() * warmth * warmRate * window + 2) {
+        violations.add("rule 4: cold server pushed over");
       }
     }
   }
@@ -143,28 +143,31 @@
   @Override
   public void refuse(String requestId, double retryAfter) {
     super.refuse(requestId, retryAfter);
-    Tracked t = answered(requestId);
-    boolean mayHaveRun = t.attempts.stream().anyMatch(a -> a.out || a.mayHaveRun);
-    boolean harmless =
-        t.type.effect() == Settings.Effect.SAFE
-            || (t.type.effect() == Settings.Effect.KEYED && t.type.group() == Settings.Group.ALL);
-    if (mayHaveRun && !harmless) {
-      breaches.add("rule 2: refused what may have run");
+    TrackedRequest tracked = recordAnswer(requestId);
+    boolean mayHaveRun =
+        tracked.attempts.stream()
+            .anyMatch(trackedAttempt -> trackedAttempt.inFlight || trackedAttempt.mayHaveRun);
+    boolean repeatIsSafe =
+        tracked.type.effect() == Settings.Effect.SAFE
+            || (tracked.type.effect() == Settings.Effect.KEYED
+                && tracked.type.group() == Settings.Group.ALL);
+    if (mayHaveRun && !repeatIsSafe) {
+      violations.add("rule 2: refused what may have run");
     }
   }
 
   @Override
   public void fail(String requestId) {
     super.fail(requestId);
-    answered(requestId);
+    recordAnswer(requestId);
   }
 
-  private Tracked answered(String requestId) {
-    Tracked t = requests.get(requestId);
-    if (t.over) {
-      breaches.add("rule 1: answered twice " + requestId);
+  private TrackedRequest recordAnswer(String requestId) {
+    TrackedRequest tracked = requests.get(requestId);
+    if (tracked.ended) {
+      violations.add("rule 1: answered twice " + requestId);
     }
-    t.over = true;
-    return t;
+    tracked.ended = true;
+    return tracked;
   }
 }
--- a/src/test/java/beamspread/policy/SlotTableTest.java
+++ b/src/test/java/beamspread/policy/SlotTableTest.java
@@ -13,27 +13,28 @@
 
 class SlotTableTest {
   private static ServerHealth server(long id) {
-    return new ServerHealth(Rig.server(id), 0, Rig.settings(false, 4, true));
+    return new ServerHealth(
+        BalancerFixtures.server(id), 0, BalancerFixtures.settings(false, 4, true));
   }
 
-  private static long[] homes(List<ServerHealth> servers) {
+  private static long[] owners(List<ServerHealth> servers) {
     SlotTable table = new SlotTable(128);
     table.rebuild(servers, false);
-    long[] homes = new long[20_000];
-    for (int i = 0; i < homes.length; i++) {
-      homes[i] = table.owner(Hashes.of("key" + i), 0).id;
+    long[] owners = new long[20_000];
+    for (int i = 0; i < owners.length; i++) {
+      owners[i] = table.owner(Hashes.of("key" + i), 0).id;
     }
-    return homes;
+    return owners;
   }
 
   @Test
-  void changesMoveOnlyTheSlotsOfTheServersConcerned() {
+  void changesMoveOnlyTheSlotsOfTheChangedServer() {
     Random random = new Random(7);
     List<ServerHealth> servers = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
       servers.add(server(random.nextInt(1 << 30)));
     }
-    long[] before = homes(servers);
+    long[] before = owners(servers);
     for (int change = 0; change < 30; change++) {
       long id;
       boolean added = random.nextBoolean() || servers.size() < 5;
@@ -43,7 +44,7 @@
       } else {
         id = servers.remove(random.nextInt(servers.size())).id;
       }
-      long[] after = homes(servers);
+      long[] after = owners(servers);
       int moved = 0;
       for (int i = 0; i < before.length; i++) {
         if (before[i] != after[i]) {
@@ -58,38 +59,38 @@
   }
 
   @Test
-  void agreesWhateverOrderTheServersCameIn() {
+  void ownersDoNotDependOnTheOrderOfServers() {
     List<ServerHealth> servers = new ArrayList<>();
     for (long id = 1; id <= 30; id++) {
       servers.add(server(id * 7919));
     }
-    long[] one = homes(servers);
+    long[] one = owners(servers);
     Collections.shuffle(servers, new Random(3));
-    long[] other = homes(servers);
+    long[] other = owners(servers);
     for (int i = 0; i < one.length; i++) {
       assertEquals(one[i], other[i]);
     }
   }
 
   @Test
-  void spreadsHomesEvenly() {
+  void distributesKeysEvenly() {
     List<ServerHealth> servers = new ArrayList<>();
     for (long id = 1; id <= 25; id++) {
       servers.add(server(id * 104729));
     }
     int[] count = new int[26];
-    long[] homes = homes(servers);
-    for (long home : homes) {
-      count[(int) (home / 104729)]++;
+    long[] owners = owners(servers);
+    for (long owner : owners) {
+      count[(int) (owner / 104729)]++;
     }
     for (int i = 1; i <= 25; i++) {
-      double share = count[i] * 25.0 / homes.length;
+      double share = count[i] * 25.0 / owners.length;
       assertTrue(share > 0.65 && share < 1.4, "share of a fair one: " + share);
     }
   }
 
   @Test
-  void ownsNothingWithoutServers() {
+  void hasNoOwnerWithoutServers() {
     SlotTable table = new SlotTable(128);
     table.rebuild(List.of(), true);
     assertNull(table.owner(5, 0));
--- a/src/test/java/beamspread/policy/TimersTest.java
+++ b/src/test/java/beamspread/policy/TimersTest.java
@@ -10,75 +10,84 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** A request that is over leaves no timer behind: each would wake a node for nothing. */
+/** A finished request leaves no timer behind, which would wake the node for nothing. */
 class TimersTest {
-  /** Which timers are set. */
-  private static final class Timers extends Rig.Recorder {
-    final Set<Long> set = new TreeSet<>();
+  /** Records which timers are set. */
+  private static final class Timers extends BalancerFixtures.Recorder {
+    final Set<Long> activeTokens = new TreeSet<>();
 
     @Override
-    public void wake(long token, double delay) {
-      super.wake(token, delay);
-      set.add(token);
+    public void setTimer(long token, double delay) {
+      super.setTimer(token, delay);
+      activeTokens.add(token);
     }
 
     @Override
-    public void cancelWake(long token) {
-      set.remove(token);
+    public void cancelTimer(long token) {
+      activeTokens.remove(token);
     }
   }
 
   private final Timers timers = new Timers();
-  private final Balancer balancer = new Balancer(Rig.settings(false, 6, true), 7, timers);
+  private final Balancer balancer =
+      new Balancer(BalancerFixtures.settings(false, 6, true), 7, timers);
 
-  private void ask(double now, String id, String key) {
-    balancer.request(now, new Request(id, key, "safe", null, 2, 0, 0, false, false));
+  private void request(double now, String id, String key) {
+    balancer.onRequest(now, new Request(id, key, "safe", null, 2, 0, 0, false, false));
   }
 
-  private void answered(double now, String id, Outcome.Result result) {
+  private void endAttempt(double now, String id, Outcome.Result result) {
     long server =
-        timers.of("send").stream().filter(a -> a.id().equals(id)).findFirst().get().number();
-    balancer.outcome(now, new Outcome(id, 0, server, result, 0.01, false, Outcome.Note.NONE, null));
+        timers.ofKind("send").stream()
+            .filter(a -> a.requestId().equals(id))
+            .findFirst()
+            .get()
+            .number();
+    balancer.onOutcome(
+        now, new Outcome(id, 0, server, result, 0.01, false, Outcome.Note.NONE, null));
   }
 
-  private void list() {
-    balancer.membership(
+  private void applyList() {
+    balancer.onMembershipUpdate(
         0,
-        new MembershipUpdate(MembershipUpdate.Kind.FULL, 1, List.of(Rig.server(1), Rig.server(2))));
-    timers.set.clear();
+        new MembershipUpdate(
+            MembershipUpdate.Kind.FULL,
+            1,
+            List.of(BalancerFixtures.server(1), BalancerFixtures.server(2))));
+    timers.activeTokens.clear();
   }
 
   @Test
-  void anAnswerTakesTheTimersOff() {
-    list();
-    ask(1, "r1", "k1");
-    assertThat(timers.set).isNotEmpty();
-    answered(1.1, "r1", Outcome.Result.OK);
-    assertThat(timers.set).isEmpty();
+  void anAnswerCancelsTheTimers() {
+    applyList();
+    request(1, "r1", "k1");
+    assertThat(timers.activeTokens).isNotEmpty();
+    endAttempt(1.1, "r1", Outcome.Result.OK);
+    assertThat(timers.activeTokens).isEmpty();
   }
 
   @Test
-  void soDoesARefusalAndAClientThatLeaves() {
-    ask(1, "refused", "k1");
-    assertThat(timers.of("refuse")).hasSize(1);
-    assertThat(timers.set).isEmpty();
-    list();
-    ask(1, "leaves", "k2");
-    assertThat(timers.set).isNotEmpty();
-    balancer.clientGone(1.2, "leaves");
-    assertThat(timers.set).isEmpty();
+  void refusalsAndDisconnectsCancelTheTimers() {
+    request(1, "refused", "k1");
+    assertThat(timers.ofKind("refuse")).hasSize(1);
+    assertThat(timers.activeTokens).isEmpty();
+    applyList();
+    request(1, "leaves", "k2");
+    assertThat(timers.activeTokens).isNotEmpty();
+    balancer.onClientGone(1.2, "leaves");
+    assertThat(timers.activeTokens).isEmpty();
   }
 
   @Test
-  void oneThatWaitsForAnothersFetchKeepsItsOwnUntilItIsOver() {
-    list();
-    ask(1, "leads", "k1");
-    ask(1.01, "waits", "k1");
-    int both = timers.set.size();
-    assertThat(both).as("two deadlines and a wait").isEqualTo(3);
-    answered(1.1, "leads", Outcome.Result.OK);
-    assertThat(timers.of("send")).hasSize(2);
-    answered(1.2, "waits", Outcome.Result.OK);
-    assertThat(timers.set).isEmpty();
+  void aHeldRequestKeepsItsTimersUntilItIsAnswered() {
+    applyList();
+    request(1, "leads", "k1");
+    request(1.01, "waits", "k1");
+    int timersOfBoth = timers.activeTokens.size();
+    assertThat(timersOfBoth).as("two deadlines and a wait").isEqualTo(3);
+    endAttempt(1.1, "leads", Outcome.Result.OK);
+    assertThat(timers.ofKind("send")).hasSize(2);
+    endAttempt(1.2, "waits", Outcome.Result.OK);
+    assertThat(timers.activeTokens).isEmpty();
   }
 }
--- a/src/test/java/beamspread/replay/ReplayTest.java
+++ b/src/test/java/beamspread/replay/ReplayTest.java
@@ -8,8 +8,8 @@
 import beamspread.lab.Fleet;
 import beamspread.lab.PoissonDemand;
 import beamspread.lab.Result;
-import beamspread.sim.Dialect;
 import beamspread.sim.Message;
+import beamspread.sim.MessageConverter;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -204,7 +204,7 @@
     for (int i = 0; i < 3; i++) {
       Message words =
           Message.parse(beamspread.fleet.api.Json.text(NodeText.settings(fleet.settings(i))));
-      assertThat(Dialect.settings(words)).isEqualTo(fleet.settings(i));
+      assertThat(MessageConverter.settings(words)).isEqualTo(fleet.settings(i));
     }
   }
 
--- a/src/test/java/beamspread/sim/SimHostTest.java
+++ b/src/test/java/beamspread/sim/SimHostTest.java
@@ -39,7 +39,7 @@
     return out.toString(StandardCharsets.UTF_8).lines().toList();
   }
 
-  private static String error(String input) {
+  private static String errorOf(String input) {
     return assertThrows(WireException.class, () -> run(input)).getMessage();
   }
 
@@ -67,7 +67,7 @@
   }
 
   @Test
-  void subscribesWhereTheListMustBeAsked() throws Exception {
+  void subscribesIfTheListIsNotPushed() throws Exception {
     List<String> lines =
         run(
             batch(1, 8.4, LAUNCH.formatted("ask"), LIST)
@@ -76,7 +76,7 @@
   }
 
   @Test
-  void ignoresEventsOnWhatItDoesNotKnow() throws Exception {
+  void ignoresEventsOfUnknownRequestsAndServers() throws Exception {
     List<String> lines =
         run(
             batch(1, 8.4, LAUNCH.formatted("push"), LIST)
@@ -95,17 +95,17 @@
   }
 
   @Test
-  void namesTheLineOfBadInput() {
-    assertEquals("line 1: not JSON", error("{nonsense\n"));
-    assertEquals("line 1: REQUEST message outside a batch", error(REQUEST + "\n"));
-    assertEquals("line 3: BATCH message out of order", error(batch(2, 1) + batch(1, 2)));
-    assertEquals("line 3: BATCH message out of order", error(batch(2, 2) + batch(3, 1)));
+  void namesTheLineOfInvalidInput() {
+    assertEquals("line 1: not JSON", errorOf("{nonsense\n"));
+    assertEquals("line 1: REQUEST message outside a batch", errorOf(REQUEST + "\n"));
+    assertEquals("line 3: BATCH message out of order", errorOf(batch(2, 1) + batch(1, 2)));
+    assertEquals("line 3: BATCH message out of order", errorOf(batch(2, 2) + batch(3, 1)));
     assertEquals(
-        "line 1: BATCH message without field 'seq'", error("{\"type\":\"BATCH\",\"time\":1}\n"));
-    assertEquals("line 2: REQUEST message for unknown instance 3", error(batch(1, 1, REQUEST)));
+        "line 1: BATCH message without field 'seq'", errorOf("{\"type\":\"BATCH\",\"time\":1}\n"));
+    assertEquals("line 2: REQUEST message for unknown instance 3", errorOf(batch(1, 1, REQUEST)));
     assertEquals(
         "line 4: REQUEST message without field 'handle'",
-        error(
+        errorOf(
             batch(
                 1,
                 1,
