--- a/src/main/java/beamspread/chaos/NodesScene.java
+++ b/src/main/java/beamspread/chaos/NodesScene.java
@@ -380,7 +380,7 @@
       if (next == null) {
         return;
       }
-      if (next.alive() && isReady()) {
+      if (next.alive() && ready()) {
         current.signal("TERM");
         former.add(current);
         current = next;
@@ -393,7 +393,7 @@
       next = null;
     }
 
-    private boolean isReady() {
+    private boolean ready() {
       try (Socket socket = new Socket(at.getAddress(), nextMgmt)) {
         socket.setSoTimeout(1000);
         socket
--- a/src/main/java/beamspread/chaos/RolloutScene.java
+++ b/src/main/java/beamspread/chaos/RolloutScene.java
@@ -65,7 +65,7 @@
     }
 
     /** The same, but that each operation concerns all instances. */
-    Operators isFullList() {
+    Operators whole() {
       return new Operators(count, leaseSeconds, judged, false);
     }
 
@@ -133,7 +133,7 @@
       program.awaitReady(READY_SECONDS);
     }
     awaitInstances(journals);
-    last = new Caller("operator", listen, on, operators.isFullList());
+    last = new Caller("operator", listen, on, operators.whole());
     for (int c = 0; c < operators.count(); c++) {
       String name = caller(c);
       Map<String, InetSocketAddress> at = new TreeMap<>();
--- a/src/main/java/beamspread/cli/TallyCommand.java
+++ b/src/main/java/beamspread/cli/TallyCommand.java
@@ -81,7 +81,7 @@
       rows.forEach((name, figures) -> table.row(name, figures.get("end_connect_failed")));
       table.print(out);
     } else {
-      print(rows, tallies.isFullList(), out);
+      print(rows, tallies.whole(), out);
     }
     return 0;
   }
--- a/src/main/java/beamspread/cli/TierViewCommand.java
+++ b/src/main/java/beamspread/cli/TierViewCommand.java
@@ -51,7 +51,7 @@
       if (!ask.silent().isEmpty() || !ask.unreachable().isEmpty()) {
         return UNKNOWN;
       }
-      return views.isFullList() ? 0 : 1;
+      return views.whole() ? 0 : 1;
     }
   }
 
@@ -92,7 +92,7 @@
           "%s does not hear %s%s%n",
           link.to(), link.from(), link.oneWay() ? ", which hears it" : ", nor the other way");
     }
-    if (views.isFullList()) {
+    if (views.whole()) {
       out.println("all see the same");
     }
   }
--- a/src/main/java/beamspread/fleet/TierViews.java
+++ b/src/main/java/beamspread/fleet/TierViews.java
@@ -52,7 +52,7 @@
   public record Link(String from, String to, boolean oneWay) {}
 
   /** Whether all see the same and every link works. */
-  public boolean isFullList() {
+  public boolean whole() {
     return differences.isEmpty() && links.isEmpty();
   }
 
--- a/src/main/java/beamspread/lab/Decider.java
+++ b/src/main/java/beamspread/lab/Decider.java
@@ -12,13 +12,13 @@
  * is compared with. This is the seam for other versions of the module.
  */
 interface Decider {
-  void onMembershipUpdate(double now, MembershipUpdate update);
+  void membership(double now, MembershipUpdate update);
 
-  void onRequest(double now, Request request);
+  void request(double now, Request request);
 
-  void onOutcome(double now, Outcome outcome);
+  void outcome(double now, Outcome outcome);
 
-  void onTimer(double now, long token);
+  void timer(double now, long token);
 
   /** The decider of this policy. */
   static Decider of(Fleet.Policy policy, Settings settings, long seed, Actions actions) {
@@ -30,22 +30,22 @@
   private static Decider real(Balancer balancer) {
     return new Decider() {
       @Override
-      public void onMembershipUpdate(double now, MembershipUpdate update) {
+      public void membership(double now, MembershipUpdate update) {
         balancer.onMembershipUpdate(now, update);
       }
 
       @Override
-      public void onRequest(double now, Request request) {
+      public void request(double now, Request request) {
         balancer.onRequest(now, request);
       }
 
       @Override
-      public void onOutcome(double now, Outcome outcome) {
+      public void outcome(double now, Outcome outcome) {
         balancer.onOutcome(now, outcome);
       }
 
       @Override
-      public void onTimer(double now, long token) {
+      public void timer(double now, long token) {
         balancer.onTimer(now, token);
       }
     };
--- a/src/main/java/beamspread/lab/NodeModel.java
+++ b/src/main/java/beamspread/lab/NodeModel.java
@@ -91,7 +91,7 @@
     }
 
     /** The handshake's work is done. */
-    void isReady() {
+    void ready() {
       ready = true;
       untilReady.forEach(Runnable::run);
       untilReady.clear();
@@ -229,7 +229,7 @@
           false,
           old ? Long.MIN_VALUE : (long) ((entry.startedAt() - EPOCH_SECONDS) * 1e9));
     }
-    tell(() -> decider.onMembershipUpdate(now(), update));
+    tell(() -> decider.membership(now(), update));
   }
 
   /** A client asks. */
@@ -252,7 +252,7 @@
             0,
             repeat,
             asked.write);
-    tell(() -> decider.onRequest(now(), told));
+    tell(() -> decider.request(now(), told));
   }
 
   /** Ten times a second. */
@@ -338,7 +338,7 @@
     tell(
         () -> {
           request.out--;
-          decider.onOutcome(
+          decider.outcome(
               now(),
               new Outcome(
                   request.id, one.number, one.server, result, elapsed, request.ended, note, null));
@@ -438,7 +438,7 @@
 
   @Override
   public void setTimer(long token, double delay) {
-    time.in((long) (delay * 1e9), () -> tell(() -> decider.onTimer(now(), token)));
+    time.in((long) (delay * 1e9), () -> tell(() -> decider.timer(now(), token)));
   }
 
   @Override
@@ -460,7 +460,7 @@
   }
 
   private void reach(Link link) {
-    boolean taken = link.box.connect(link, settings.instanceNumber(), link::isReady);
+    boolean taken = link.box.connect(link, settings.instanceNumber(), link::ready);
     time.in(
         way(link.box),
         () -> {
--- a/src/main/java/beamspread/lab/PlainDecider.java
+++ b/src/main/java/beamspread/lab/PlainDecider.java
@@ -55,7 +55,7 @@
   }
 
   @Override
-  public void onMembershipUpdate(double now, MembershipUpdate update) {
+  public void membership(double now, MembershipUpdate update) {
     if (update.kind() == MembershipUpdate.Kind.FULL) {
       servers.clear();
     }
@@ -81,7 +81,7 @@
   }
 
   @Override
-  public void onRequest(double now, Request request) {
+  public void request(double now, Request request) {
     Open one = new Open(request);
     open.put(request.id(), one);
     send(one);
@@ -134,7 +134,7 @@
   }
 
   @Override
-  public void onOutcome(double now, Outcome outcome) {
+  public void outcome(double now, Outcome outcome) {
     inFlight.merge(outcome.server(), -1, Integer::sum);
     allInFlight--;
     Open one = open.get(outcome.requestId());
@@ -162,7 +162,7 @@
   }
 
   @Override
-  public void onTimer(double now, long token) {
+  public void timer(double now, long token) {
     // It has asked for none.
   }
 }
--- a/src/main/java/beamspread/model/Outcome.java
+++ b/src/main/java/beamspread/model/Outcome.java
@@ -57,7 +57,7 @@
     }
 
     /** Returns whether the connection failed, so that the server may be down. */
-    public boolean connectionLost() {
+    public boolean isConnectionFailure() {
       return this == CONNECT_FAILED || this == RESET;
     }
 
--- a/src/main/java/beamspread/node/OperatorCalls.java
+++ b/src/main/java/beamspread/node/OperatorCalls.java
@@ -149,7 +149,7 @@
   }
 
   @Override
-  public boolean isReady() {
+  public boolean ready() {
     return phase == SharedFolder.Phase.TAKES;
   }
 
--- a/src/main/java/beamspread/node/mgmt/MgmtCalls.java
+++ b/src/main/java/beamspread/node/mgmt/MgmtCalls.java
@@ -19,7 +19,7 @@
   }
 
   /** Whether this process takes clients. */
-  boolean isReady();
+  boolean ready();
 
   /** The figures, as one JSON object. */
   String figures();
--- a/src/main/java/beamspread/node/mgmt/MgmtHandler.java
+++ b/src/main/java/beamspread/node/mgmt/MgmtHandler.java
@@ -52,7 +52,7 @@
     answer(
         ctx,
         switch (path) {
-          case "/_ready" -> get(call, this::isReady);
+          case "/_ready" -> get(call, this::ready);
           case "/_vars" -> get(call, () -> new Answer(HttpResponseStatus.OK, calls.figures()));
           case DETACH, ATTACH -> change(call, path.equals(DETACH));
           default -> Answer.no(HttpResponseStatus.NOT_FOUND, "no such call: " + path);
@@ -65,8 +65,8 @@
         : Answer.no(HttpResponseStatus.METHOD_NOT_ALLOWED, "this is asked by GET");
   }
 
-  private Answer isReady() {
-    return calls.isReady()
+  private Answer ready() {
+    return calls.ready()
         ? new Answer(HttpResponseStatus.OK, "{\"ready\":true}")
         : Answer.no(HttpResponseStatus.SERVICE_UNAVAILABLE, "takes no clients");
   }
--- a/src/main/java/beamspread/node/relay/ValueRelays.java
+++ b/src/main/java/beamspread/node/relay/ValueRelays.java
@@ -89,7 +89,7 @@
     }
 
     @Override
-    public void isFullList() {
+    public void whole() {
       relay.whole(clock.getAsLong());
     }
 
--- a/src/main/java/beamspread/node/server/ServerLink.java
+++ b/src/main/java/beamspread/node/server/ServerLink.java
@@ -165,7 +165,7 @@
       answeredLast = head.command().request.id();
       pools.answered(System.nanoTime(), id, head.writtenAt, awaited, head.guarded, false);
       if (to != null) {
-        to.isFullList();
+        to.whole();
       }
       channel.config().setAutoRead(true);
     }
--- a/src/main/java/beamspread/node/variants/VariantTraffic.java
+++ b/src/main/java/beamspread/node/variants/VariantTraffic.java
@@ -61,9 +61,9 @@
     }
 
     @Override
-    public void isFullList() {
+    public void whole() {
       keys.answered(System.nanoTime(), asked, hash.build());
-      sink.isFullList();
+      sink.whole();
     }
 
     @Override
--- a/src/main/java/beamspread/overload/ConcurrencyLimit.java
+++ b/src/main/java/beamspread/overload/ConcurrencyLimit.java
@@ -35,7 +35,7 @@
   /** Most requests in progress at a stall; the limit is removed once it exceeds twice this. */
   private int maxInProgress;
 
-  private long lastStallNanos;
+  private long lastStallAtNanos;
 
   /**
    * Records a stall that ends now.
@@ -52,7 +52,7 @@
         Double.isInfinite(limitBefore) ? inProgress : Math.max(maxInProgress, inProgress);
     double gradient = Math.max(MIN_GRADIENT, (double) MIN_STALL_NANOS / stallNanos);
     limitAfterStall = Math.max(MIN_LIMIT, Math.min(limitBefore, inProgress) * gradient);
-    lastStallNanos = nowNanos;
+    lastStallAtNanos = nowNanos;
   }
 
   /** Returns whether one more request may begin. */
@@ -64,7 +64,7 @@
     if (Double.isInfinite(limitAfterStall)) {
       return limitAfterStall;
     }
-    double doublings = Math.max(0, nowNanos - lastStallNanos) / (double) DOUBLING_NANOS;
+    double doublings = Math.max(0, nowNanos - lastStallAtNanos) / (double) DOUBLING_NANOS;
     double grown = limitAfterStall * Math.pow(2, doublings);
     return grown > 2.0 * Math.max(maxInProgress, MIN_LIMIT) ? Double.POSITIVE_INFINITY : grown;
   }
--- a/src/main/java/beamspread/policy/Balancer.java
+++ b/src/main/java/beamspread/policy/Balancer.java
@@ -379,7 +379,7 @@
     inFlight--;
     ServerHealth server = call.attempts.get(outcome.attempt()).server;
     call.attempts.get(outcome.attempt()).connectionFault =
-        outcome.result().connectionLost() && server.answeredRecently(now);
+        outcome.result().isConnectionFailure() && server.answeredRecently(now);
     closeIfUnused(
         now, server, server.recordEnd(now, outcome, settings.limits().idleTimeout(), fewFail));
     if (outcome.result() == Outcome.Result.OK) {
@@ -497,7 +497,7 @@
     boolean ownFault =
         call.attempts.get(outcome.attempt()).server.fetchFailureRate > OriginGuard.MAX_FAILURE_RATE;
     boolean costsNoToken =
-        outcome.result().connectionLost()
+        outcome.result().isConnectionFailure()
             || (outcome.result() == Outcome.Result.FULL && ownFault && !guard.isFailing());
     if (outcome.result() == Outcome.Result.NOT_STORED) {
       ServerHealth origin = leastLoaded(now, call, origins);
--- a/src/main/java/beamspread/policy/MembershipFeed.java
+++ b/src/main/java/beamspread/policy/MembershipFeed.java
@@ -109,14 +109,15 @@
 
   /**
    * Returns the pause after a failed call. Discovery is small and shared, so balancers whose calls
-   * failed together back off with jitter, but always for less than {@code askWithin}.
+   * failed together back off with jitter, but always for less than {@code callWithin}.
    */
   private double pauseAfterFailure(double now) {
     boolean subscriptionLost = subscribed;
     subscribed = false;
     consecutiveFailures = Math.min(consecutiveFailures + 1, 8);
-    double partOfAskWithin = settings.contract().callWithin() * 0.4;
-    double longest = Math.max(settings.tickSeconds(), Math.min(MAX_PAUSE_SECONDS, partOfAskWithin));
+    double partOfCallWithin = settings.contract().callWithin() * 0.4;
+    double longest =
+        Math.max(settings.tickSeconds(), Math.min(MAX_PAUSE_SECONDS, partOfCallWithin));
     double pause = Math.min(longest, 0.25 * Math.pow(2, consecutiveFailures));
     pause *= 0.5 + 0.5 * random.nextDouble();
     return subscriptionLost ? Math.max(pause, resubscribeSpread(now) * random.nextDouble()) : pause;
--- a/src/main/java/beamspread/policy/PendingRequest.java
+++ b/src/main/java/beamspread/policy/PendingRequest.java
@@ -132,7 +132,7 @@
     };
   }
 
-  /** Rule 2: returns whether the client may be told that repeating the request is safe. */
+  /** Rule 2: returns whether a refusal may state that repeating the request is safe. */
   boolean mayRefuse() {
     return type.effect() == Settings.Effect.SAFE
         || firstThatMayHaveRun() == null
--- a/src/main/java/beamspread/policy/ServerHealth.java
+++ b/src/main/java/beamspread/policy/ServerHealth.java
@@ -51,7 +51,7 @@
 
   private final Settings settings;
   private double startedAt;
-  private int connectFailures;
+  private int consecutiveFailures;
   private double trialPause;
   private double nextTrialAt;
   private boolean trialInFlight;
@@ -100,7 +100,7 @@
   void updateEntry(ServerEntry update, double now) {
     if (update.startedAt() > entry.startedAt()) {
       startedAt = Math.max(startedAt, update.startedAt());
-      connectFailures = 0;
+      consecutiveFailures = 0;
       trialInFlight = false;
       resetColdTokens(now);
     }
@@ -118,7 +118,7 @@
   }
 
   boolean isSuspect() {
-    return connectFailures >= SUSPECT_AFTER_FAILURES;
+    return consecutiveFailures >= SUSPECT_AFTER_FAILURES;
   }
 
   /** Returns whether a suspect server may get a trial request: one at a time, after a pause. */
@@ -185,16 +185,16 @@
    * earned before a window began.
    */
   boolean admitsWhileCold(double now, double warmRate) {
-    double saturationLimit = warmRate * warmth(now);
-    double reservePart = Math.max(0, settings.contract().overloadFactor() - 1) / 2;
+    double fairRate = warmRate * warmth(now);
+    double halfHeadroom = Math.max(0, settings.contract().overloadFactor() - 1) / 2;
     double rate =
-        saturationLimit
-            * (lastServedAt > startedAt && saturation(now) < LOW_SATURATION ? 1 + reservePart : 1);
+        fairRate
+            * (lastServedAt > startedAt && saturation(now) < LOW_SATURATION ? 1 + halfHeadroom : 1);
     double instances = Math.max(1, settings.instances());
-    double window = saturationLimit * settings.contract().overloadFor();
+    double window = fairRate * settings.contract().overloadFor();
     double savedTokensLimit =
-        window * reservePart
-            + 1.5 * Math.sqrt((1 + 2 * reservePart) * window / instances)
+        window * halfHeadroom
+            + 1.5 * Math.sqrt((1 + 2 * halfHeadroom) * window / instances)
             + 1 / instances;
     savedTokensLimit = Math.min(savedTokensLimit, Math.max(1, rate * 0.25));
     coldTokens += (now - coldTokensUpdatedAt) * rate;
@@ -221,14 +221,14 @@
     inFlight--;
     trialInFlight = false;
     boolean wasSuspect = isSuspect();
-    if (result.connectionLost()) {
+    if (result.isConnectionFailure()) {
       // A server at its connection limit refuses like a dead one, but keeps open connections.
       connectionBroke |= result == Outcome.Result.RESET || now - connectionUsedAt < idleTimeout;
       // A running server that resets connections must not count as dead and then as cold: its
       // process has ended only if trials fail too, for at least as long as a start takes.
       processEnded |= wasSuspect && connectionBroke && now - lastAnswerAt > MIN_OUTAGE_SECONDS;
       connectionUsedAt = Double.NEGATIVE_INFINITY;
-      connectFailures += result == Outcome.Result.RESET && answeredRecently(now) ? 0 : 1;
+      consecutiveFailures += result == Outcome.Result.RESET && answeredRecently(now) ? 0 : 1;
     } else if (result.isFromServer()) {
       connectionUsedAt = lastAnswerAt = now;
       hasAnswered = true;
@@ -237,7 +237,7 @@
         startedAt = Math.max(startedAt, now);
         resetColdTokens(now);
       }
-      connectFailures = 0;
+      consecutiveFailures = 0;
       processEnded = connectionBroke = false;
     }
     // A server that hangs would make its failed fetches look like the origin's, and one that
@@ -248,7 +248,7 @@
         && fewServersFail
         && consecutiveUnserved >= SUSPECT_AFTER_UNSERVED
         && now - lastServedAt > RECENT_ANSWER_SECONDS) {
-      connectFailures = SUSPECT_AFTER_FAILURES;
+      consecutiveFailures = SUSPECT_AFTER_FAILURES;
     }
     // Attempts sent before the trial don't delay it; a trial that gets an answer costs little.
     if (isSuspect() && !served && (!wasSuspect || now >= nextTrialAt)) {
@@ -258,6 +258,6 @@
               : FIRST_TRIAL_PAUSE_SECONDS;
       nextTrialAt = now + trialPause;
     }
-    return result.connectionLost() && !connectionBroke;
+    return result.isConnectionFailure() && !connectionBroke;
   }
 }
--- a/src/main/java/beamspread/report/Tallies.java
+++ b/src/main/java/beamspread/report/Tallies.java
@@ -155,7 +155,7 @@
   }
 
   /** Sums over everything, but for what stands for a moment. */
-  public Map<String, Long> isFullList() {
+  public Map<String, Long> whole() {
     Map<String, Long> whole = new LinkedHashMap<>();
     bySecond.values().forEach(second -> sum(whole, second, true));
     return whole;
--- a/src/main/java/beamspread/scale/ListService.java
+++ b/src/main/java/beamspread/scale/ListService.java
@@ -15,7 +15,7 @@
 
   ListService(EventLoop loop, int servers) throws IOException, InterruptedException {
     this.servers = servers;
-    discovery = new Discovery(loop, this::isFullList);
+    discovery = new Discovery(loop, this::whole);
   }
 
   Discovery discovery() {
@@ -27,7 +27,7 @@
   }
 
   /** The whole list as it is now. */
-  String isFullList() {
+  String whole() {
     List<String> lines = new ArrayList<>();
     for (int i = 0; i < servers; i++) {
       lines.add(line(i, "active"));
--- a/src/main/java/beamspread/scale/NodeTrial.java
+++ b/src/main/java/beamspread/scale/NodeTrial.java
@@ -29,7 +29,7 @@
                 number,
                 size,
                 lists.discovery().address(),
-                lists.isFullList(),
+                lists.whole(),
                 Path.of("none"))
             .replace("\"status_socket\":\"none\",", "");
     return Files.writeString(file, text);
@@ -153,7 +153,7 @@
   private static void awaitFollowed(ListService lists, HollowFleet real)
       throws IOException, InterruptedException {
     long until = System.nanoTime() + PATIENCE_NANOS;
-    while (lists.discovery().toldBytes() < lists.isFullList().length()) {
+    while (lists.discovery().toldBytes() < lists.whole().length()) {
       if (System.nanoTime() - until > 0) {
         throw new IOException("the real node does not follow: " + real.said());
       }
--- a/src/main/java/beamspread/standin/BoxServer.java
+++ b/src/main/java/beamspread/standin/BoxServer.java
@@ -157,7 +157,7 @@
     Connection connection = new Connection(channel);
     if (!up
         || open.size() >= kind.connections()
-        || !cores.take(kind.handshakeNanos(), connection::isReady)) {
+        || !cores.take(kind.handshakeNanos(), connection::ready)) {
       turnedDown++;
       channel.close();
       return;
@@ -236,7 +236,7 @@
       this.channel = channel;
     }
 
-    private void isReady() {
+    private void ready() {
       ready = true;
       for (String[] one = untilReady.poll(); one != null; one = untilReady.poll()) {
         answer(one);
--- a/src/main/java/beamspread/standin/postgres/PgSession.java
+++ b/src/main/java/beamspread/standin/postgres/PgSession.java
@@ -94,13 +94,13 @@
               new DataInputStream(new BufferedInputStream(socket.getInputStream())),
               socket.getOutputStream());
       if (startUp()) {
-        isReady();
+        ready();
         boolean skipping = false;
         for (int type = wire.type(); type > 0 && type != 'X'; type = wire.type()) {
           PgWire.Body body = wire.body();
           if (type == 'S') {
             skipping = false;
-            isReady();
+            ready();
           } else if (!skipping) {
             skipping = !handle((char) type, body);
           }
@@ -196,7 +196,7 @@
     return text.getBytes(StandardCharsets.UTF_8);
   }
 
-  private void isReady() throws IOException {
+  private void ready() throws IOException {
     wire.send('Z', new PgWire.Out().int8(failed ? 'E' : inTransaction ? 'T' : 'I'));
     wire.flush();
   }
@@ -222,7 +222,7 @@
       switch (type) {
         case 'Q' -> {
           simple(body.text());
-          isReady();
+          ready();
         }
         case 'P' -> parse(body);
         case 'B' -> bind(body);
@@ -237,7 +237,7 @@
       failed |= inTransaction;
       error(e);
       if (type == 'Q') {
-        isReady();
+        ready();
         return true;
       }
       return false;
--- a/src/test/java/beamspread/fleet/TierViewsTest.java
+++ b/src/test/java/beamspread/fleet/TierViewsTest.java
@@ -52,7 +52,7 @@
       all.put("n" + i, tier(i, "aa", member(0, "alive", 0), member(1, "alive", 2)));
     }
     TierViews views = TierViews.of(all);
-    assertThat(views.isFullList()).isTrue();
+    assertThat(views.whole()).isTrue();
     assertThat(views.nodes()).hasSize(3).allMatch(node -> node.group() == 1 && node.here() == 2);
     assertThat(views.nodes().get(2).heardBy()).isEqualTo(0.5);
   }
@@ -65,7 +65,7 @@
     all.put("n2", tier(2, "aa", member(0, "alive", 0), member(1, "gone", 0)));
     all.put("n3", tier(3, "cc", member(0, "alive", 0)));
     TierViews views = TierViews.of(all);
-    assertThat(views.isFullList()).isFalse();
+    assertThat(views.whole()).isFalse();
     assertThat(views.nodes().get(0).group()).isEqualTo(1);
     assertThat(views.nodes().get(2).group()).isEqualTo(1);
     assertThat(views.nodes().get(1).group()).isNotEqualTo(1);
--- a/src/test/java/beamspread/node/StalledNodeTest.java
+++ b/src/test/java/beamspread/node/StalledNodeTest.java
@@ -50,7 +50,7 @@
 
   /** A request and what came of it, as its client saw it. */
   private record Answered(String id, long dueAt, String first, long answeredAt, String second) {
-    boolean isFullList() {
+    boolean whole() {
       return first != null
           && (first.equals("VA 5 O" + id) || first.startsWith("SERVER_ERROR "))
           && second == null;
@@ -126,7 +126,7 @@
     int lost = 0;
     for (int i = 0; i < answers.size(); i++) {
       Answered one = answers.get(i).get();
-      assertThat(one.isFullList()).as("%s", one).isTrue();
+      assertThat(one.whole()).as("%s", one).isTrue();
       long lateNanos = one.answeredAt - one.dueAt - SLACK_NANOS;
       boolean couldBeSaved = one.dueAt + SLACK_NANOS - runsAgainAt > DOUBT_NANOS;
       if (couldBeSaved) {
--- a/src/test/java/beamspread/node/mgmt/MgmtServerTest.java
+++ b/src/test/java/beamspread/node/mgmt/MgmtServerTest.java
@@ -41,7 +41,7 @@
     MgmtCalls calls =
         new MgmtCalls() {
           @Override
-          public boolean isReady() {
+          public boolean ready() {
             return true;
           }
 
--- a/src/test/java/beamspread/policy/AdmissionAndSuccessionTest.java
+++ b/src/test/java/beamspread/policy/AdmissionAndSuccessionTest.java
@@ -144,7 +144,7 @@
             List.of(BalancerFixtures.server(1, ServerEntry.State.DRAINING, 0))));
     recorder.recorded.clear();
     callingBalancer.onTimer(due, Balancer.FEED_TIMER_TOKEN);
-    assertThat(recorder.ofKind("subscribe")).as("the list is still asked for").hasSize(1);
+    assertThat(recorder.ofKind("subscribe")).as("still calls for the list").hasSize(1);
     request(callingBalancer, due, "r");
     assertThat(recorder.ofKind("send"))
         .extracting(BalancerFixtures.Action::number)
--- a/src/test/java/beamspread/policy/BalancerFailureTest.java
+++ b/src/test/java/beamspread/policy/BalancerFailureTest.java
@@ -201,7 +201,7 @@
     }
     List<BalancerFixtures.Action> closesOfServer1 =
         actions.ofKind("closeIdle").stream().filter(a -> a.number() == 1).toList();
-    assertEquals(1, closesOfServer1.size(), "once, when the last attempt there has ended");
+    assertEquals(1, closesOfServer1.size(), "closed once, when its last attempt has ended");
   }
 
   private static boolean endAttempt(ServerHealth server, double now, Outcome.Result result) {
@@ -253,9 +253,9 @@
     balancer.onMembershipUpdate(101, BalancerFixtures.cachedList(2));
     balancer.onRequest(102, BalancerFixtures.request("a", "k", "safe", 1));
     List<BalancerFixtures.Action> sends = actions.ofKind("send");
-    long home = sends.get(sends.size() - 1).number();
-    balancer.onOutcome(102.1, BalancerFixtures.outcome("a", 0, home, Outcome.Result.ERROR));
-    balancer.onOutcome(102.2, BalancerFixtures.outcome("a", 1, 3 - home, Outcome.Result.OK));
+    long owner = sends.get(sends.size() - 1).number();
+    balancer.onOutcome(102.1, BalancerFixtures.outcome("a", 0, owner, Outcome.Result.ERROR));
+    balancer.onOutcome(102.2, BalancerFixtures.outcome("a", 1, 3 - owner, Outcome.Result.OK));
     actions.recorded.clear();
     balancer.onRequest(103, BalancerFixtures.request("b", "k", "safe", 1));
     assertEquals(1, actions.ofKind("send").size(), "sent without waiting for the ended fetch");
@@ -428,7 +428,9 @@
         crossed[i] += turn % 2 == 1 && sent.number() % 2 == 1 ? 1 : 0;
       }
     }
-    assertTrue(crossed[0] <= 2 && crossed[1] >= 8, crossed[0] + " dear, " + crossed[1] + " cheap");
+    assertTrue(
+        crossed[0] <= 2 && crossed[1] >= 8,
+        crossed[0] + " at the high price, " + crossed[1] + " at the low price");
   }
 
   @Test
@@ -457,16 +459,18 @@
   void fetchesLaterThanTheirAimShrinkTheWindow() {
     for (double elapsed : new double[] {0.4, 0.6}) {
       BalancerFixtures.Recorder recorder = new BalancerFixtures.Recorder();
-      Balancer server = new Balancer(SETTINGS, 1, recorder);
-      server.onMembershipUpdate(100, BalancerFixtures.cachedList(1));
+      Balancer singleServerBalancer = new Balancer(SETTINGS, 1, recorder);
+      singleServerBalancer.onMembershipUpdate(100, BalancerFixtures.cachedList(1));
       for (int i = 0; i < 40; i++) {
-        server.onRequest(100 + i * 0.7, BalancerFixtures.request("f" + i, "fresh" + i, "safe", 1));
+        singleServerBalancer.onRequest(
+            100 + i * 0.7, BalancerFixtures.request("f" + i, "fresh" + i, "safe", 1));
         BalancerFixtures.Action sent = recorder.ofKind("send").get(i);
-        server.onOutcome(
+        singleServerBalancer.onOutcome(
             100 + i * 0.7 + elapsed, fetchOutcome(sent, Outcome.Result.OK, elapsed, 0.1));
       }
       for (int i = 0; i < 3; i++) {
-        server.onRequest(128, BalancerFixtures.request("b" + i, "burst" + i, "safe", 1));
+        singleServerBalancer.onRequest(
+            128, BalancerFixtures.request("b" + i, "burst" + i, "safe", 1));
       }
       assertEquals(elapsed > 0.5 ? 1 : 3, recorder.ofKind("send").size() - 40, "after " + elapsed);
     }
--- a/src/test/java/beamspread/policy/BalancerFixtures.java
+++ b/src/test/java/beamspread/policy/BalancerFixtures.java
@@ -80,7 +80,7 @@
   }
 
   /** Returns the settings of a fleet that calls for its list, at least this often. */
-  static Settings callingForList(int instances, double askWithin) {
+  static Settings callingForList(int instances, double callWithin) {
     Settings settings =
         settings(true, settings(false, 6, true).limits(), instances, Settings.Spread.DEFAULT);
     Settings.Contract contract = settings.contract();
@@ -89,7 +89,7 @@
         0,
         new Settings.Contract(
             contract.answerGrace(),
-            askWithin,
+            callWithin,
             contract.drainGrace(),
             contract.coldFrom(),
             contract.warmWithin(),
--- a/src/test/java/beamspread/policy/BalancerRulesTest.java
+++ b/src/test/java/beamspread/policy/BalancerRulesTest.java
@@ -24,8 +24,8 @@
       Balancer balancer,
       MembershipUpdate.Kind kind,
       List<ServerEntry> entries) {
-    for (ServerEntry line : entries) {
-      checker.servers.put(line.id(), line);
+    for (ServerEntry entry : entries) {
+      checker.servers.put(entry.id(), entry);
     }
     balancer.onMembershipUpdate(checker.now, BalancerFixtures.update(kind, entries));
   }
@@ -242,6 +242,6 @@
       checker.recordArrival(BalancerFixtures.request("x" + i, "k", "safe", 1));
       checker.send("x" + i, 3, 0);
     }
-    assertTrue(checker.violations.contains("rule 4: cold server pushed over"));
+    assertTrue(checker.violations.contains("rule 4: cold server overloaded"));
   }
 }
--- a/src/test/java/beamspread/policy/ColdServerRampTest.java
+++ b/src/test/java/beamspread/policy/ColdServerRampTest.java
@@ -206,7 +206,7 @@
         seedsOverBound.add(seed);
       }
     }
-    assertEquals(List.of(), seedsOverBound, "seeds, of " + seeds + "; the worst took " + worst);
+    assertEquals(List.of(), seedsOverBound, "seeds, of " + seeds + "; worst ratio " + worst);
   }
 
   /** Starving the cold server would also keep the bound, so it must get most of its capacity. */
@@ -231,7 +231,7 @@
         }
         String scenario = balancers + " balancers, N " + n;
         assertTrue(sends > 0.9 * capacity, scenario + ": " + sends + " of " + capacity);
-        assertTrue(sendsInFirstSeconds > 0, scenario + ": nothing at all in the first 2 s");
+        assertTrue(sendsInFirstSeconds > 0, scenario + ": no request in the first 2 s");
       }
     }
   }
--- a/src/test/java/beamspread/policy/DiscoveryOutageTest.java
+++ b/src/test/java/beamspread/policy/DiscoveryOutageTest.java
@@ -36,11 +36,11 @@
     final double upAt;
     double idleAt;
 
-    Simulation(int callers, String fault, double askWithin, long seed) {
+    Simulation(int callers, String fault, double callWithin, long seed) {
       this.random = new SplittableRandom(seed);
       this.fault = fault;
       this.upAt = DOWN_AT_SECONDS + 8 + random.nextDouble();
-      Settings settings = BalancerFixtures.callingForList(callers, askWithin);
+      Settings settings = BalancerFixtures.callingForList(callers, callWithin);
       for (int i = 0; i < callers; i++) {
         Caller caller = new Caller(settings, this);
         caller.feed.apply(0, BalancerFixtures.cachedList(1));
@@ -118,19 +118,19 @@
     "490, refused", "490, hangs", "490, silent"
   })
   void allCallersAreAnsweredInTimeWithoutExcessCalls(int callers, String fault) {
-    for (double askWithin : new double[] {1, 2.5, 5, 10, 30, 60}) {
+    for (double callWithin : new double[] {1, 2.5, 5, 10, 30, 60}) {
       for (long seed = 1; seed <= 5; seed++) {
-        Simulation simulation = new Simulation(callers, fault, askWithin, seed);
+        Simulation simulation = new Simulation(callers, fault, callWithin, seed);
         simulation.runUntil(40);
-        String scenario = callers + " " + fault + ", ask-within " + askWithin + ", seed " + seed;
+        String scenario = callers + " " + fault + ", call-within " + callWithin + ", seed " + seed;
         assertTrue(
             simulation.answerDelays.size() == callers,
-            scenario + ": told " + simulation.answerDelays.size());
+            scenario + ": answered " + simulation.answerDelays.size());
         double last =
             simulation.answerDelays.stream().mapToDouble(Double::doubleValue).max().orElseThrow();
         // Discovery itself needs this long to answer all callers one after the other.
         double bound = 6 + Math.max(0, callers * WORK_SECONDS - MAX_QUEUE_SECONDS / 2);
-        assertTrue(last < bound, scenario + ": the last was told after " + last);
+        assertTrue(last < bound, scenario + ": last answer after " + last);
         long callsAfterReturn =
             simulation.callsAt.stream().filter(at -> at >= simulation.upAt).count();
         assertTrue(
--- a/src/test/java/beamspread/policy/DiscoveryOverloadTest.java
+++ b/src/test/java/beamspread/policy/DiscoveryOverloadTest.java
@@ -123,7 +123,7 @@
       simulation.runUntil(60);
       String scenario =
           "%d callers, %.0f s, %s, seed %d: ".formatted(callers, secondsForAll, cause, seed);
-      assertThat(simulation.answeredAt).as(scenario + "told").hasSize(callers);
+      assertThat(simulation.answeredAt).as(scenario + "answered").hasSize(callers);
       double mean =
           simulation.answeredAt.stream().mapToDouble(Double::doubleValue).average().orElseThrow();
       double last = simulation.answeredAt.get(callers - 1);
--- a/src/test/java/beamspread/policy/RuleChecker.java
+++ b/src/test/java/beamspread/policy/RuleChecker.java
@@ -92,7 +92,7 @@
     TrackedRequest tracked = requests.get(requestId);
     ServerEntry target = servers.get(server);
     if (tracked.ended) {
-      violations.add("rule 1: sent after its end " + requestId);
+      violations.add("rule 1: sent after its final answer " + requestId);
     }
     if (target == null || target.state() != ServerEntry.State.READY) {
       violations.add("rule 3: sent to a server that is not ready");
@@ -103,7 +103,7 @@
     Attempt first = null;
     for (Attempt trackedAttempt : tracked.attempts) {
       if (trackedAttempt.inFlight && !settings.limits().parallelAttempts()) {
-        violations.add("rule 2: two attempts out together");
+        violations.add("rule 2: two attempts in flight together");
       }
       if (first == null && (trackedAttempt.inFlight || trackedAttempt.mayHaveRun)) {
         first = trackedAttempt;
@@ -135,7 +135,7 @@
       double warmth = coldCapacity + (1 - coldCapacity) * (now - target.startedAt()) / warmWithin;
       long sendsInWindow = sends.stream().filter(at -> at > now - window).count();
       if (sendsInWindow > settings.contract().overloadFactor() * warmth * warmRate * window + 2) {
-        violations.add("rule 4: cold server pushed over");
+        violations.add("rule 4: cold server overloaded");
       }
     }
   }
@@ -143,7 +143,7 @@
   @Override
   public void refuse(String requestId, double retryAfter) {
     super.refuse(requestId, retryAfter);
-    TrackedRequest tracked = recordAnswer(requestId);
+    TrackedRequest tracked = recordFinalAnswer(requestId);
     boolean mayHaveRun =
         tracked.attempts.stream()
             .anyMatch(trackedAttempt -> trackedAttempt.inFlight || trackedAttempt.mayHaveRun);
@@ -159,10 +159,10 @@
   @Override
   public void fail(String requestId) {
     super.fail(requestId);
-    recordAnswer(requestId);
+    recordFinalAnswer(requestId);
   }
 
-  private TrackedRequest recordAnswer(String requestId) {
+  private TrackedRequest recordFinalAnswer(String requestId) {
     TrackedRequest tracked = requests.get(requestId);
     if (tracked.ended) {
       violations.add("rule 1: answered twice " + requestId);
--- a/src/test/java/beamspread/pool/PoolsTest.java
+++ b/src/test/java/beamspread/pool/PoolsTest.java
@@ -451,7 +451,7 @@
     assertThat(world.up()).hasSize(3);
   }
 
-  /** Long random orders of all that can happen; {@link Simulation} checks each decision. */
+  /** Long random orders of all that can happen; {@link World} checks each decision. */
   @Property(tries = 300, seed = "20261201")
   void noOrderOfEventsBreaksWhatMustHold(@ForAll long seed) {
     Random random = new Random(seed);
--- a/src/test/java/beamspread/report/TalliesTest.java
+++ b/src/test/java/beamspread/report/TalliesTest.java
@@ -64,7 +64,7 @@
         .containsEntry("turned_down", 12L);
     assertThat(tallies.byNode().get("n1")).containsEntry("reads", 4L).containsEntry("links", 4L);
     assertThat(tallies.byServer().toString()).isEqualTo("[a=2, b=1]");
-    assertThat(tallies.isFullList()).containsEntry("reads", 6L).containsEntry("lines", 3L);
+    assertThat(tallies.whole()).containsEntry("reads", 6L).containsEntry("lines", 3L);
   }
 
   @Test
