--- a/src/main/java/beamspread/node/ConfigWatch.java
+++ b/src/main/java/beamspread/node/ConfigWatch.java
@@ -7,47 +7,47 @@
 import java.nio.file.attribute.FileTime;
 
 /**
- * Sees that the configuration file has changed, where SIGHUP can't tell: a process inherits that
- * the signal is ignored, from nohup for one, and the virtual machine then leaves it so. A change
- * counts once a second look finds the file as the first one left it, so that a file which is being
- * written is not read half way.
+ * Detects changes of the configuration file by polling, for processes that can't receive SIGHUP: a
+ * process can inherit that the signal is ignored, for example from nohup, and the JVM then leaves
+ * it ignored. A change is reported once two consecutive polls find the file in the same state, so
+ * that a file that is still being written is not read.
  */
 final class ConfigWatch {
-  /** Between two looks. */
-  static final long LOOK_MILLIS = 250;
+  /** Interval between two polls. */
+  static final long POLL_INTERVAL_MILLIS = 250;
 
   private final Path file;
-  private final Runnable changed;
-  private State taken;
-  private State seen;
+  private final Runnable onChange;
+  private FileState reportedState;
+  private FileState lastState;
 
-  /** What tells one content of a file from another without reading it. */
-  private record State(FileTime modified, long size, Object key) {}
+  /** File attributes that identify a version of the file without reading it. */
+  private record FileState(FileTime modified, long size, Object fileKey) {}
 
-  /** Watches a file; what it holds now is known. */
-  ConfigWatch(Path file, Runnable changed) {
+  /** Watches a file, whose present state counts as known. */
+  ConfigWatch(Path file, Runnable onChange) {
     this.file = file;
-    this.changed = changed;
-    taken = state();
-    seen = taken;
+    this.onChange = onChange;
+    reportedState = readState();
+    lastState = reportedState;
   }
 
-  /** Looks at the file; tells of a change once it has settled. */
-  void look() {
-    State now = state();
-    boolean settled = now != null && now.equals(seen);
-    seen = now;
-    if (settled && !now.equals(taken)) {
-      taken = now;
-      changed.run();
+  /** Polls the file, and reports a change once it has settled. */
+  void poll() {
+    FileState current = readState();
+    boolean settled = current != null && current.equals(lastState);
+    lastState = current;
+    if (settled && !current.equals(reportedState)) {
+      reportedState = current;
+      onChange.run();
     }
   }
 
-  /** Null while there is no such file. */
-  private State state() {
+  /** Returns the state of the file; null if it can't be read. */
+  private FileState readState() {
     try {
-      BasicFileAttributes read = Files.readAttributes(file, BasicFileAttributes.class);
-      return new State(read.lastModifiedTime(), read.size(), read.fileKey());
+      BasicFileAttributes attributes = Files.readAttributes(file, BasicFileAttributes.class);
+      return new FileState(attributes.lastModifiedTime(), attributes.size(), attributes.fileKey());
     } catch (IOException e) {
       return null;
     }
--- a/src/main/java/beamspread/node/DecisionEvents.java
+++ b/src/main/java/beamspread/node/DecisionEvents.java
@@ -4,72 +4,73 @@
 import java.util.function.Consumer;
 
 /**
- * Tells the decision module what has happened, one event after the other. The module is never
- * called from within one of its calls: what its own actions cause is told after the event that
- * caused them. All of it runs on the event loop.
+ * Delivers events to the decision module one after the other. The module is never called from
+ * within one of its own calls: events that its actions cause are delivered after the event that
+ * caused them. Runs on the event loop only.
  */
 final class DecisionEvents {
-  /** Something that has happened. */
+  /** An event for the decision module. */
   interface Event {
     /**
-     * Tells the module.
+     * Delivers the event to the decision module.
      *
      * @param now seconds of the module's clock
      */
-    void tell(double now);
+    void deliver(double now);
   }
 
   private final Clock clock;
-  private final Consumer<Throwable> failed;
-  private final ArrayDeque<Event> waiting = new ArrayDeque<>();
-  private boolean telling;
+  private final Consumer<Throwable> onFailure;
+  private final ArrayDeque<Event> pending = new ArrayDeque<>();
+  private boolean delivering;
 
   /**
-   * @param failed is told when the module has failed at an event; those behind it are still told
+   * @param onFailure receives the exception when the module fails on an event; later events are
+   *     still delivered
    */
-  DecisionEvents(Clock clock, Consumer<Throwable> failed) {
+  DecisionEvents(Clock clock, Consumer<Throwable> onFailure) {
     this.clock = clock;
-    this.failed = failed;
+    this.onFailure = onFailure;
   }
 
-  /** Tells the module of an event, and then of those that its own actions cause. */
-  void tell(Event event) {
-    waiting.add(event);
-    tellWaiting();
+  /** Delivers an event, and then the events that the module's own actions cause. */
+  void post(Event event) {
+    pending.add(event);
+    deliverPending();
   }
 
-  /** Tells the module of what waits, unless it is in a call already. */
-  void tellWaiting() {
-    if (telling) {
+  /** Delivers the pending events, unless a delivery is already in progress. */
+  void deliverPending() {
+    if (delivering) {
       return;
     }
-    telling = true;
+    delivering = true;
     try {
-      for (Event next = waiting.poll(); next != null; next = waiting.poll()) {
+      for (Event next = pending.poll(); next != null; next = pending.poll()) {
         try {
-          next.tell(clock.now());
+          next.deliver(clock.now());
         } catch (RuntimeException | VirtualMachineError e) {
-          failed.accept(e);
+          onFailure.accept(e);
         }
       }
     } finally {
-      telling = false;
+      delivering = false;
     }
   }
 
   /**
-   * Runs a step whose events wait until the caller is done.
+   * Runs a step and holds back the events that it posts until the caller is done.
    *
-   * @return whether events wait that nobody is about to tell
+   * @return whether events are pending that the caller has to have delivered
    */
-  boolean collect(Runnable step) {
-    boolean before = telling;
-    telling = true;
+  boolean runWithDeliveryHeld(Runnable action) {
+    boolean wasDelivering = delivering;
+    delivering = true;
     try {
-      step.run();
+      action.run();
     } finally {
-      telling = before;
+      delivering = wasDelivering;
     }
-    return !before && !waiting.isEmpty();
+    return !wasDelivering && !pending.isEmpty();
   }
 }
--- a/src/main/java/beamspread/node/Dispatcher.java
+++ b/src/main/java/beamspread/node/Dispatcher.java
@@ -37,21 +37,24 @@
 import java.util.function.LongUnaryOperator;
 
 /**
- * Stands between the decision module and the sockets: carries out what it decides, and tells it
- * what comes of attempts. All of it runs on the event loop.
+ * Connects the decision module ({@link Balancer}) to the sockets: carries out its decisions and
+ * reports the outcomes of attempts to it. Runs on the event loop only.
  */
 final class Dispatcher implements Actions, Outcomes, DiscoveryClient.Listener {
   /**
-   * The node stops waiting for an attempt this long before the client stops waiting for the node,
-   * so that the module hears of the time-out before it must answer, and the answer is in time.
+   * The node abandons an attempt this long before the client's deadline, so that the decision
+   * module learns of the timeout before it has to answer, and the answer is in time.
    */
   private static final long ANSWER_MARGIN_NANOS = 2_000_000;
 
-  /** The part of the time for a connect that the way of one command takes: a third is one trip. */
-  private static final int WAY_PART = 3;
+  /**
+   * Divisor of the connect timeout that yields the one-way latency allowance: the timeout covers
+   * three one-way trips.
+   */
+  private static final int CONNECT_ONE_WAY_DIVISOR = 3;
 
-  /** How often requests are looked through for overdue ones after the module has failed. */
-  private static final long RESCUE_MILLIS = 10;
+  /** Interval between checks for overdue requests after the decision module has failed. */
+  private static final long OVERDUE_CHECK_INTERVAL_MILLIS = 10;
 
   private final Clock clock = new Clock();
   private final EventLoop loop;
@@ -63,26 +66,26 @@
   private final Targets targets;
   private final DiscoveryClient discovery;
   private final ListLog listLog;
-  private final ListExpiry expiry;
+  private final ListExpiry listExpiry;
   private final RequestMetrics metrics;
-  private final OpenRequests open;
+  private final OpenRequests openRequests;
   private final DecisionEvents events;
   private final RequestIntake intake;
   private final WakeTimers timers;
-  private final Map<String, Settings.ServiceClass> types = new HashMap<>();
+  private final Map<String, Settings.ServiceClass> classesByName = new HashMap<>();
   private final long longestDeadlineNanos;
   private NodeConfig config;
-  private VariantTraffic variants;
-  private int heldByOthers;
-  private boolean rescuing;
-  private long rescueUntil;
+  private VariantTraffic variantTraffic;
+  private int socketsHeldByOthers;
+  private boolean overdueCheckScheduled;
+  private long overdueChecksUntil;
 
   Dispatcher(
       NodeConfig config,
       EventLoop loop,
       Bootstrap bootstrap,
       PoolSettings poolSettings,
-      long stuckNanos,
+      long stalledReplyNanos,
       ValueRelays relays,
       LongUnaryOperator unreadNanos,
       Log log) {
@@ -97,43 +100,43 @@
             loop,
             bootstrap,
             poolSettings,
-            stuckNanos,
+            stalledReplyNanos,
             new SplittableRandom(config.seed())::nextDouble,
             this);
     for (Settings.ServiceClass service : settings.services()) {
-      types.put(service.name(), service);
+      classesByName.put(service.name(), service);
     }
     this.metrics = new RequestMetrics(settings.services());
-    this.open = new OpenRequests(metrics);
-    this.events = new DecisionEvents(clock, this::moduleFailed);
-    this.timers = new WakeTimers(loop, this::wakeDue);
-    this.listLog = new ListLog(log::line);
+    this.openRequests = new OpenRequests(metrics);
+    this.events = new DecisionEvents(clock, this::onModuleFailure);
+    this.timers = new WakeTimers(loop, this::onTimerDue);
+    this.listLog = new ListLog(log::info);
     this.balancer = new Balancer(settings, config.seed(), this);
-    this.expiry = new ListExpiry(loop, clock, balancer, this::listExpired, log::line);
+    this.listExpiry = new ListExpiry(loop, clock, balancer, this::onListExpired, log::info);
     this.intake =
-        new RequestIntake(loop, open, events, balancer, metrics, log, longestDeadlineNanos);
+        new RequestIntake(loop, openRequests, events, balancer, metrics, log, longestDeadlineNanos);
     this.targets =
-        new Targets(pools, clock, update -> events.tell(now -> balancer.membership(now, update)));
+        new Targets(pools, clock, update -> events.post(now -> balancer.membership(now, update)));
     this.discovery =
         new DiscoveryClient(
             loop,
             bootstrap,
             config.discovery(),
             settings.asksForList(),
-            config.known().version(),
+            config.knownList().version(),
             unreadNanos,
             this);
   }
 
   /**
-   * Begins to write what is done in each second to the log.
+   * Starts to log a tally line every second.
    *
-   * @param clients how many connections of clients there are
+   * @param clients supplies the current number of client connections
    */
-  void tally(IntSupplier clients) {
-    Tally tally = metrics.beginTally();
+  void startTally(IntSupplier clients) {
+    Tally tally = metrics.startTally();
     loop.scheduleAtFixedRate(
-        () -> log.line(tally.line(System.currentTimeMillis(), gauges(clients))),
+        () -> log.info(tally.line(System.currentTimeMillis(), gauges(clients))),
         1,
         1,
         TimeUnit.SECONDS);
@@ -141,86 +144,88 @@
 
   private Tally.Gauges gauges(IntSupplier clients) {
     return new Tally.Gauges(
-        open.unanswered(),
-        open.attempts(),
+        openRequests.unanswered(),
+        openRequests.attemptsInFlight(),
         clients.getAsInt(),
         pools.sockets(),
         pools.opened(),
         pools.turnedDown());
   }
 
-  /** Tells the module the list as it was last known, and begins to follow it. */
-  void start(MemberList known) {
+  /** Applies the list as it was last known, and starts to follow discovery. */
+  void start(MemberList knownList) {
     listEvidence(System.nanoTime(), ListEvidence.STARTED);
-    targets.list(known, MembershipUpdate.Kind.REMEMBERED);
+    targets.applyList(knownList, MembershipUpdate.Kind.REMEMBERED);
     if (!settings.asksForList()) {
       discovery.follow();
     }
   }
 
   /**
-   * Takes over what may change while the node runs: where discovery is. What the module was built
-   * from stays as it is until the next start, since it holds promises made by the old figures.
+   * Applies the settings that can change at run time: the discovery address and the pool bounds.
+   * The settings that the decision module was built from stay in force until the next start,
+   * because it holds commitments that depend on the old values.
    */
-  void reload(NodeConfig changed) {
-    if (!changed.discovery().equals(config.discovery())) {
-      log.line("discovery moves to " + changed.discovery());
-      discovery.move(changed.discovery());
+  void reload(NodeConfig newConfig) {
+    if (!newConfig.discovery().equals(config.discovery())) {
+      log.info("discovery address changed to " + newConfig.discovery());
+      discovery.move(newConfig.discovery());
     }
-    pools.use(changed.pool().without(heldByOthers));
-    if (changed.needsRestart(config)) {
-      log.line("new settings, limits or listening address: taken over at the next start");
+    pools.use(newConfig.pool().without(socketsHeldByOthers));
+    if (newConfig.needsRestart(config)) {
+      log.info("new settings, limits or listening address take effect at the next start");
     }
-    config = changed;
+    config = newConfig;
   }
 
   /**
-   * This process ends soon: whatever is open by then is answered, however long its client would
-   * still wait, since nothing else ever answers it.
+   * Answers every request that is still open at the given time, even if its client would wait
+   * longer, because the process ends then and nothing else would answer it.
    *
-   * @param at on the clock of {@link System#nanoTime()}
+   * @param deadline on the clock of {@link System#nanoTime()}
    */
-  void endBy(long at) {
-    intake.endBy(at);
-    loop.schedule(open::failAll, at - System.nanoTime(), TimeUnit.NANOSECONDS);
+  void answerAllBy(long deadline) {
+    intake.answerAllBy(deadline);
+    loop.schedule(openRequests::failAll, deadline - System.nanoTime(), TimeUnit.NANOSECONDS);
   }
 
   /**
-   * Leaves other processes of this node what they hold: sockets to cache servers, and open
-   * requests, since clients have connections for so many together. A third stays, lest nothing be
-   * taken here.
+   * Reserves what other processes of this node hold: sockets to cache servers, and open requests,
+   * because the limit on client connections applies to all processes together. A third of the open
+   * requests stays available, so that this process can still accept some.
    */
-  void share(int sockets, int openRequests) {
-    balancer.share(Math.min(openRequests, settings.limits().maxOpen() / 3 * 2));
-    if (sockets != heldByOthers) {
-      heldByOthers = sockets;
-      pools.use(config.pool().without(sockets));
+  void reserveForOthers(int otherSockets, int otherOpenRequests) {
+    balancer.share(Math.min(otherOpenRequests, settings.limits().maxOpen() / 3 * 2));
+    if (otherSockets != socketsHeldByOthers) {
+      socketsHeldByOthers = otherSockets;
+      pools.use(config.pool().without(otherSockets));
     }
   }
 
-  private void moduleFailed(Throwable cause) {
+  private void onModuleFailure(Throwable cause) {
     report("decision module", cause);
-    rescue();
+    startOverdueChecks();
   }
 
   /**
-   * Guards against an exception in the module that makes it forget a request: for as long as one
-   * that was open then can last, what the module has not answered in time is answered here.
+   * Makes sure that requests are answered although the decision module may have lost them in an
+   * exception: until every request that is open now has passed its deadline, requests that are
+   * overdue are failed here.
    */
-  private void rescue() {
-    rescueUntil = System.nanoTime() + longestDeadlineNanos + 1_000_000_000L;
-    if (!rescuing) {
-      rescuing = true;
-      loop.schedule(this::rescueOverdue, RESCUE_MILLIS, TimeUnit.MILLISECONDS);
+  private void startOverdueChecks() {
+    overdueChecksUntil = System.nanoTime() + longestDeadlineNanos + 1_000_000_000L;
+    if (!overdueCheckScheduled) {
+      overdueCheckScheduled = true;
+      loop.schedule(this::checkOverdue, OVERDUE_CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
-  private void rescueOverdue() {
+  private void checkOverdue() {
     long now = System.nanoTime();
-    open.failOverdue(now);
-    rescuing = now - rescueUntil < 0;
-    if (rescuing) {
-      loop.schedule(this::rescueOverdue, RESCUE_MILLIS, TimeUnit.MILLISECONDS);
+    openRequests.failOverdue(now);
+    overdueCheckScheduled = now - overdueChecksUntil < 0;
+    if (overdueCheckScheduled) {
+      loop.schedule(this::checkOverdue, OVERDUE_CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
@@ -228,24 +233,28 @@
     return pools;
   }
 
-  /** Where the requests of clients go. */
+  /** Returns the handler of incoming client requests. */
   RequestIntake intake() {
     return intake;
   }
 
-  /** What a successor had better know, null if too little is learnt yet. */
-  byte[] learnt() {
+  /** Returns the encoded learnt state for a successor process; null if too little is learnt yet. */
+  byte[] encodeLearntState() {
     double now = clock.now();
     return LearntNote.write(now, balancer.learnt(now));
   }
 
-  /** Takes over a predecessor's note once the list is known; whether it was a good one. */
-  boolean inherit(byte[] note) {
-    Learnt learnt = LearntNote.read(clock.now(), note);
-    if (learnt != null) {
-      balancer.inherit(learnt);
+  /**
+   * Restores the learnt state of a predecessor process. Call it once the list is known.
+   *
+   * @return whether the state was valid
+   */
+  boolean restoreLearntState(byte[] encodedState) {
+    Learnt learntState = LearntNote.read(clock.now(), encodedState);
+    if (learntState != null) {
+      balancer.inherit(learntState);
     }
-    return learnt != null;
+    return learntState != null;
   }
 
   Targets targets() {
@@ -256,14 +265,16 @@
     return new ListStatus(
         discovery.version(),
         discovery.confirmedMillis(),
-        expiry.expired(),
-        expiry.expiries(),
+        listExpiry.expired(),
+        listExpiry.expiries(),
         discovery.calls(),
         listLog.failures());
   }
 
-  /** How many requests were answered here, and by no cache server, for each cause. */
-  Map<UnservedCause, Long> unserved() {
+  /**
+   * Returns how many requests this node answered itself, without a cache server, for each cause.
+   */
+  Map<UnservedCause, Long> unservedByCause() {
     return balancer.unserved();
   }
 
@@ -272,20 +283,20 @@
   }
 
   int openRequests() {
-    return open.count();
+    return openRequests.count();
   }
 
-  /** Requests that are taken and have no final answer, or not all of it. */
+  /** Returns the number of requests without a complete final answer. */
   int unanswered() {
-    return open.unanswered() + relays.passing();
+    return openRequests.unanswered() + relays.passing();
   }
 
   @Override
   public void report(String where, Throwable cause) {
-    log.failure(where, cause);
+    log.error(where, cause);
   }
 
-  // What cache servers do.
+  // Callbacks from the cache server connections.
 
   @Override
   public void ended(Attempt attempt, Outcome.Result result) {
@@ -300,12 +311,12 @@
     if (attempt.timeout != null) {
       attempt.timeout.cancel(false);
     }
-    attempt.mayHaveRun = !result.provesNotRun();
+    attempt.mayHaveExecuted = !result.provesNotRun();
     OpenRequest request = attempt.request;
     double elapsed = (System.nanoTime() - attempt.sentAt) / 1e9;
-    events.tell(
+    events.post(
         now -> {
-          request.out--;
+          request.attemptsInFlight--;
           Outcome outcome =
               new Outcome(
                   request.id(),
@@ -320,25 +331,26 @@
           try {
             balancer.outcome(now, outcome);
           } finally {
-            open.settle(request);
+            openRequests.removeIfComplete(request);
           }
         });
   }
 
   /**
-   * Looks at the client's socket, and at the list's age, before an attempt begins. What else is
-   * found there is told to the module afterwards: it may be deciding just now, and the pools are.
+   * Checks the client's socket, and the age of the list, before an attempt begins. Events found
+   * there are delivered to the decision module later: it and the pools may be in the middle of a
+   * decision.
    */
   @Override
   public boolean wanted(Attempt attempt) {
     OpenRequest request = ((RequestAttempt) attempt).request;
-    if (!request.ended && events.collect(() -> lookForClient(request))) {
-      loop.execute(events::tellWaiting);
+    if (!request.ended && events.runWithDeliveryHeld(() -> checkClientConnection(request))) {
+      loop.execute(events::deliverPending);
     }
     return !request.ended && !balancer.listExpired(clock.now());
   }
 
-  private void lookForClient(OpenRequest request) {
+  private void checkClientConnection(OpenRequest request) {
     if (request.slot.clientLeft()) {
       intake.clientGone(request);
     }
@@ -349,17 +361,19 @@
     metrics.attemptWritten();
   }
 
-  /** A reply has come; it is dropped where the module has been told another end. */
+  /**
+   * Forwards the reply to the client, or drops it if the attempt or the request has already ended.
+   */
   @Override
-  public void replied(Attempt answered, MetaReply reply) {
-    RequestAttempt attempt = (RequestAttempt) answered;
+  public void replied(Attempt serverAttempt, MetaReply reply) {
+    RequestAttempt attempt = (RequestAttempt) serverAttempt;
     OpenRequest request = attempt.request;
     if (reply.result() == Outcome.Result.OK && !request.ended && !attempt.over()) {
-      open.over(request);
+      openRequests.markEnded(request);
       metrics.served(request);
       metrics.replied(request.command.request.serviceClass(), Figures.Reply.SUCCESS);
-      if (request.rewrite != null && reply.value() != null) {
-        variants.answered(request.rewrite, reply.value());
+      if (request.keyRewrite != null && reply.value() != null) {
+        variantTraffic.answered(request.keyRewrite, reply.value());
       }
       request.slot.answer(reply.clientAnswer(request.slot.alloc()));
     }
@@ -367,54 +381,59 @@
   }
 
   @Override
-  public ValueSink begun(Attempt answered, MetaReply head, ValueSource source) {
-    RequestAttempt attempt = (RequestAttempt) answered;
+  public ValueSink begun(Attempt serverAttempt, MetaReply head, ValueSource source) {
+    RequestAttempt attempt = (RequestAttempt) serverAttempt;
     OpenRequest request = attempt.request;
     ValueSink sink = null;
     if (!request.ended && !attempt.over()) {
-      open.over(request);
+      openRequests.markEnded(request);
       metrics.served(request);
-      String type = request.command.request.serviceClass();
+      String className = request.command.request.serviceClass();
       sink =
           relays.begin(
               head,
               source,
               request.slot,
-              whole -> metrics.replied(type, whole ? Figures.Reply.SUCCESS : Figures.Reply.ERROR));
+              whole ->
+                  metrics.replied(className, whole ? Figures.Reply.SUCCESS : Figures.Reply.ERROR));
     }
-    // For the module the server has answered: when its first bytes came is what tells of it.
+    // The decision module measures the latency up to the first bytes of the reply.
     ended(attempt, head.result(), head.note(), head.load());
-    return request.rewrite == null ? sink : variants.passing(request.rewrite, sink);
+    return request.keyRewrite == null ? sink : variantTraffic.passing(request.keyRewrite, sink);
   }
 
-  /** Keys are replaced by canonical ones from now on. */
-  void use(VariantTraffic traffic) {
-    variants = traffic;
-    intake.use(traffic);
+  /** Replaces keys by canonical ones from now on. */
+  void useVariants(VariantTraffic traffic) {
+    variantTraffic = traffic;
+    intake.useVariants(traffic);
   }
 
-  // What discovery says.
+  // Callbacks from discovery.
 
   @Override
   public void list(MemberList list) {
     list.faults().forEach(listLog::fault);
     listLog.told(list);
-    targets.list(list, list.full() ? MembershipUpdate.Kind.FULL : MembershipUpdate.Kind.CHANGES);
+    targets.applyList(
+        list, list.full() ? MembershipUpdate.Kind.FULL : MembershipUpdate.Kind.CHANGES);
   }
 
   @Override
   public void listEvidence(long at, ListEvidence evidence) {
-    events.tell(
+    events.post(
         now -> {
           balancer.listEvidence(clock.at(at), evidence);
-          expiry.look();
+          listExpiry.check();
         });
   }
 
-  /** Nothing goes out by the list any more, also of what was decided before. */
-  private void listExpired() {
-    events.tell(balancer::answerHeld);
-    open.unsentAttempts().forEach(attempt -> withdraw(attempt, Outcome.Result.MOOT));
+  /**
+   * Stops sending by the expired list, and also withdraws attempts that were decided on but not
+   * sent.
+   */
+  private void onListExpired() {
+    events.post(balancer::answerHeld);
+    openRequests.unsentAttempts().forEach(attempt -> abandon(attempt, Outcome.Result.MOOT));
   }
 
   @Override
@@ -429,16 +448,16 @@
         failure.kind() == CallFailure.Kind.STATUS
             ? MembershipUpdate.Kind.OVERLOADED
             : MembershipUpdate.Kind.FAILED;
-    events.tell(now -> balancer.membership(now, new MembershipUpdate(kind, 0, List.of())));
+    events.post(now -> balancer.membership(now, new MembershipUpdate(kind, 0, List.of())));
   }
 
-  // What the module decides.
+  // Actions of the decision module.
 
   @Override
   public void send(String requestId, long server, double timeout) {
-    OpenRequest request = open.get(requestId);
+    OpenRequest request = openRequests.get(requestId);
     if (request == null) {
-      log.line("send for unknown request " + requestId);
+      log.info("decision to send an unknown request " + requestId);
       return;
     }
     long now = System.nanoTime();
@@ -450,56 +469,60 @@
             request.attempts.size(),
             server,
             deadline,
-            type(request).effect() != Settings.Effect.SAFE,
+            serviceClass(request).effect() != Settings.Effect.SAFE,
             repeatableUntil(request));
     request.attempts.add(attempt);
-    request.out++;
-    metrics.attemptBegins(attempt);
+    request.attemptsInFlight++;
+    metrics.attemptStarted(attempt);
     if (request.ended || attempt.number >= settings.limits().maxAttempts() || latest - now <= 0) {
       ended(attempt, Outcome.Result.MOOT);
       return;
     }
     attempt.timeout =
-        loop.schedule(() -> timeOut(attempt), Math.max(0, deadline - now), TimeUnit.NANOSECONDS);
+        loop.schedule(
+            () -> onAttemptTimeout(attempt), Math.max(0, deadline - now), TimeUnit.NANOSECONDS);
     pools.send(attempt);
   }
 
-  private Settings.ServiceClass type(OpenRequest request) {
-    return types.get(request.command.request.serviceClass());
+  private Settings.ServiceClass serviceClass(OpenRequest request) {
+    return classesByName.get(request.command.request.serviceClass());
   }
 
   /**
-   * Until when one more attempt of a request may begin. Guards against an effect carried out twice:
-   * the module reckons with the time that a connection takes to come up, but an attempt may wait
-   * for one for longer, and by then servers have forgotten the first.
+   * Returns the latest time at which another attempt of a request may be written. Without this
+   * limit an effect could be carried out twice: the decision module allows for the time that a
+   * connect takes, but an attempt may wait longer for a connection, and by then servers have
+   * forgotten the idempotency key of the first.
    */
   private long repeatableUntil(OpenRequest request) {
-    Settings.ServiceClass type = type(request);
-    if (type.effect() != Settings.Effect.KEYED) {
-      return RequestAttempt.ANY_TIME;
+    Settings.ServiceClass serviceClass = serviceClass(request);
+    if (serviceClass.effect() != Settings.Effect.KEYED) {
+      return RequestAttempt.NO_TIME_LIMIT;
     }
     for (RequestAttempt earlier : request.attempts) {
-      if (earlier.mayHaveRun) {
-        double window = type.repeatWindow() - settings.limits().connectTimeout() / WAY_PART;
+      if (earlier.mayHaveExecuted) {
+        double window =
+            serviceClass.repeatWindow()
+                - settings.limits().connectTimeout() / CONNECT_ONE_WAY_DIVISOR;
         return earlier.sentAt + (long) (Math.max(0, window) * 1e9);
       }
     }
-    return RequestAttempt.ANY_TIME;
+    return RequestAttempt.NO_TIME_LIMIT;
   }
 
   /**
-   * An attempt's time is over. Guards against giving up one whose answer has come while this node
-   * did not run: the timer is due before the loop has looked at the socket.
+   * Handles the timeout of an attempt. Reads the socket first, because after a stall of this node
+   * the timer fires before the event loop has read an answer that has already arrived.
    */
-  private void timeOut(RequestAttempt attempt) {
+  private void onAttemptTimeout(RequestAttempt attempt) {
     pools.look(attempt);
-    withdraw(attempt, Outcome.Result.TIMEOUT);
+    abandon(attempt, Outcome.Result.TIMEOUT);
   }
 
-  /** Stops waiting for an attempt. */
-  private void withdraw(RequestAttempt attempt, Outcome.Result result) {
+  /** Stops waiting for an attempt and settles it with the given result. */
+  private void abandon(RequestAttempt attempt, Outcome.Result result) {
     if (!attempt.over()) {
-      // Its time ran out while it waited for a connection: that none came up proves it never ran.
+      // It timed out while waiting for a connection, so it is certain that no server has run it.
       boolean unsent = !attempt.sent() && result == Outcome.Result.TIMEOUT;
       pools.withdraw(attempt, result == Outcome.Result.TIMEOUT);
       ended(attempt, unsent ? Outcome.Result.CONNECT_FAILED : result);
@@ -508,24 +531,24 @@
 
   @Override
   public void cancel(String requestId, int number) {
-    OpenRequest request = open.get(requestId);
+    OpenRequest request = openRequests.get(requestId);
     if (request != null && number < request.attempts.size()) {
-      withdraw(request.attempts.get(number), Outcome.Result.CANCELLED);
+      abandon(request.attempts.get(number), Outcome.Result.CANCELLED);
     }
   }
 
   @Override
   public void refuse(String requestId, double retryAfter) {
     long millis = Math.round(retryAfter * 1e3);
-    open.end(
-        open.get(requestId),
+    openRequests.answer(
+        openRequests.get(requestId),
         Figures.Reply.OVERLOAD,
         "SERVER_ERROR busy" + (millis > 0 ? " " + millis : ""));
   }
 
   @Override
   public void fail(String requestId) {
-    open.fail(open.get(requestId));
+    openRequests.fail(openRequests.get(requestId));
   }
 
   @Override
@@ -533,8 +556,8 @@
     timers.set(token, delay);
   }
 
-  private void wakeDue(long token) {
-    events.tell(now -> balancer.timer(now, token));
+  private void onTimerDue(long token) {
+    events.post(now -> balancer.timer(now, token));
   }
 
   @Override
--- a/src/main/java/beamspread/node/ListExpiry.java
+++ b/src/main/java/beamspread/node/ListExpiry.java
@@ -6,8 +6,8 @@
 import java.util.function.Consumer;
 
 /**
- * Notices when the list of cache servers expires and when it is confirmed again. Whether it has
- * expired is the decision module's to say. All of it runs on the event loop.
+ * Detects when the list of cache servers expires and when it is confirmed again. The decision
+ * module decides whether it has expired. Runs on the event loop only.
  */
 final class ListExpiry {
   private final EventLoop loop;
@@ -15,13 +15,13 @@
   private final Balancer balancer;
   private final Runnable onExpiry;
   private final Consumer<String> log;
-  private double nextLookAt = Double.POSITIVE_INFINITY;
+  private double nextCheckAt = Double.POSITIVE_INFINITY;
   private boolean expired;
   private double expiredAt;
   private long expiries;
 
   /**
-   * @param onExpiry is run each time the list has expired
+   * @param onExpiry runs each time the list expires
    */
   ListExpiry(
       EventLoop loop, Clock clock, Balancer balancer, Runnable onExpiry, Consumer<String> log) {
@@ -32,18 +32,18 @@
     this.log = log;
   }
 
-  /** Something new is known of the list: it may expire later, sooner, or be good again. */
-  void look() {
+  /** Checks the list again after new evidence: it may expire later or sooner, or be valid again. */
+  void check() {
     double now = clock.now();
     if (balancer.listExpired(now)) {
       expire(now);
     } else {
       if (expired) {
         log.accept(
-            "the list of servers is good again after %.0f ms".formatted((now - expiredAt) * 1e3));
+            "the list of servers is valid again after %.0f ms".formatted((now - expiredAt) * 1e3));
       }
       expired = false;
-      lookAt(balancer.listExpiresAt(), now);
+      scheduleCheck(balancer.listExpiresAt(), now);
     }
   }
 
@@ -52,29 +52,30 @@
       expired = true;
       expiredAt = now;
       expiries++;
-      log.accept("the list of servers has expired: requests are refused until discovery tells it");
+      log.accept(
+          "the list of servers has expired: requests are refused until discovery confirms it");
       onExpiry.run();
     }
   }
 
-  private void lookAt(double at, double now) {
-    if (at < nextLookAt) {
-      nextLookAt = at;
-      loop.schedule(this::due, (long) ((at - now) * 1e9), TimeUnit.NANOSECONDS);
+  private void scheduleCheck(double at, double now) {
+    if (at < nextCheckAt) {
+      nextCheckAt = at;
+      loop.schedule(this::onCheckDue, (long) ((at - now) * 1e9), TimeUnit.NANOSECONDS);
     }
   }
 
-  private void due() {
-    nextLookAt = Double.POSITIVE_INFINITY;
-    look();
+  private void onCheckDue() {
+    nextCheckAt = Double.POSITIVE_INFINITY;
+    check();
   }
 
-  /** Whether it has expired. */
+  /** Returns whether the list is expired now. */
   boolean expired() {
     return expired;
   }
 
-  /** How often it has expired since the start. */
+  /** Returns how often the list has expired since the start. */
   long expiries() {
     return expiries;
   }
--- a/src/main/java/beamspread/node/Log.java
+++ b/src/main/java/beamspread/node/Log.java
@@ -4,59 +4,59 @@
 import java.time.Instant;
 
 /**
- * Lines on standard error, at most so many a second: a failure that repeats must not cost more. As
- * JSON they have the fields that the operations' log has: time, level, logger, message.
+ * Writes log lines to standard error, with a limit per second so that a repeated failure stays
+ * cheap. As JSON, lines have the fields of the agent's log: time, level, logger, message.
  */
 final class Log {
-  private static final int LINES_A_SECOND = 10;
+  private static final int MAX_LINES_PER_SECOND = 10;
 
-  private final String node;
+  private final String nodeName;
   private final boolean json;
-  private long second;
-  private int lines;
+  private long currentSecond;
+  private int linesThisSecond;
   private boolean muted;
 
-  /** A log of the node of this name. */
-  Log(String node, boolean json) {
-    this.node = node;
+  /** Creates the log of the node of this name. */
+  Log(String nodeName, boolean json) {
+    this.nodeName = nodeName;
     this.json = json;
   }
 
-  /** Writes no more: what happens while a node is closed is no news. */
+  /** Drops all further lines: failures while a node closes are expected. */
   synchronized void mute() {
     muted = true;
   }
 
-  /** Something worth knowing. */
-  void line(String text) {
-    write("INFO", text);
+  /** Logs a line at level INFO. */
+  void info(String message) {
+    write("INFO", message);
   }
 
-  /** Something that should not be. */
-  void failure(String where, Throwable cause) {
+  /** Logs an unexpected failure at level ERROR, with its first stack frame. */
+  void error(String context, Throwable cause) {
     StackTraceElement[] trace = cause.getStackTrace();
-    write("ERROR", where + ": " + cause + (trace.length > 0 ? " at " + trace[0] : ""));
+    write("ERROR", context + ": " + cause + (trace.length > 0 ? " at " + trace[0] : ""));
   }
 
-  private synchronized void write(String level, String text) {
-    long now = System.nanoTime() / 1_000_000_000L;
-    if (now != second) {
-      second = now;
-      lines = 0;
+  private synchronized void write(String level, String message) {
+    long second = System.nanoTime() / 1_000_000_000L;
+    if (second != currentSecond) {
+      currentSecond = second;
+      linesThisSecond = 0;
     }
-    if (!muted && lines++ < LINES_A_SECOND) {
-      System.err.println(json ? object(level, text) : text);
+    if (!muted && linesThisSecond++ < MAX_LINES_PER_SECOND) {
+      System.err.println(json ? formatJson(level, message) : message);
     }
   }
 
-  private String object(String level, String text) {
+  private String formatJson(String level, String message) {
     return Json.object(
         out -> {
           out.writeStringField("time", Instant.now().toString());
           out.writeStringField("level", level);
           out.writeStringField("logger", "node");
-          out.writeStringField("instance", node);
-          out.writeStringField("message", text);
+          out.writeStringField("instance", nodeName);
+          out.writeStringField("message", message);
         });
   }
 }
--- a/src/main/java/beamspread/node/Node.java
+++ b/src/main/java/beamspread/node/Node.java
@@ -39,58 +39,63 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 
-/** One load balancer node: assembles its parts around one event loop, and ends them in order. */
+/**
+ * One load balancer node: creates its components around one event loop, and shuts them down in
+ * order.
+ */
 public final class Node implements AutoCloseable {
-  /** New connections go on coming for so long after a planned restart has begun. */
-  private static final long ACCEPT_MILLIS = 500;
+  /** How long the node still accepts connections after a planned restart has begun. */
+  private static final long DRAIN_ACCEPT_MILLIS = 500;
 
   /**
-   * Longest deadline that a planned restart waits for: the platform ends a node 0.7 s later at the
-   * latest, however long its clients would wait.
+   * Longest deadline that a planned restart waits for: the platform kills a node at most 0.7 s
+   * later, whatever the deadlines of its clients.
    */
-  private static final double LONGEST_STOP = 3;
+  private static final double MAX_DRAIN_SECONDS = 3;
 
-  /** The last answers are given so long before this process ends, for what carries them out. */
-  private static final long LAST_ANSWERS_NANOS = 50_000_000L;
+  /**
+   * The last answers are given this long before the process ends, so that they can still be sent.
+   */
+  private static final long FINAL_ANSWER_MARGIN_NANOS = 50_000_000L;
 
-  /** Rounds of up to 16 connections that are accepted before the listener closes. */
-  private static final int ACCEPT_ROUNDS = 16;
+  /** Rounds in which up to 16 pending connections each are accepted before the listener closes. */
+  private static final int MAX_ACCEPT_ROUNDS = 16;
 
-  /** How often connections are looked through for those that have outlived their time. */
-  private static final long SWEEP_MILLIS = 100;
+  /** Interval between checks for connections that have passed their time limits. */
+  private static final long SWEEP_INTERVAL_MILLIS = 100;
 
-  /** How often this process looks at what the others of its node have done. */
-  private static final long LOOK_MILLIS = 100;
+  /** Interval between reads of what the other processes of this node have written. */
+  private static final long SYNCHRONIZE_INTERVAL_MILLIS = 100;
 
-  /** After the listener closes, until connections do: the loop goes round once. */
-  private static final long ROUND_MILLIS = 2;
+  /** Delay from closing the listener to closing connections: one iteration of the event loop. */
+  private static final long LISTENER_CLOSE_MILLIS = 2;
 
-  /** How long nothing may come of a cache server's reply that is half here. */
-  private static final long STUCK_NANOS = 400_000_000L;
+  /** How long a partly received reply of a cache server may make no progress. */
+  private static final long STALLED_REPLY_NANOS = 400_000_000L;
 
   private final NodeConfig config;
   private final MultiThreadIoEventLoopGroup group;
   private final EventLoop loop;
   private final Transport transport;
   private final PooledByteBufAllocator allocator;
-  private final ClientConnections clients;
+  private final ClientConnections clientConnections;
   private final ValueRelays relays;
   private final Dispatcher dispatcher;
-  private final MemoryBudget values;
+  private final MemoryBudget valueMemory;
   private final Log log;
-  private final LoopWatch watch;
+  private final LoopWatch loopWatch;
   private final CountDownLatch drained = new CountDownLatch(1);
   private volatile Channel listener;
   private StatusSocket statusSocket;
-  private SharedFolder shared;
-  private OperatorCalls operators;
-  private MgmtServer mgmt;
-  private TierSocket tier;
-  private VariantKeys variants;
+  private SharedFolder sharedFolder;
+  private OperatorCalls operatorCalls;
+  private MgmtServer mgmtServer;
+  private TierSocket tierSocket;
+  private VariantKeys variantKeys;
   private NodeStatus.Configuration configuration;
   private boolean draining;
 
-  /** A node that is not listening yet. */
+  /** Creates a node that is not listening yet. */
   Node(NodeConfig config) {
     this(
         config,
@@ -102,29 +107,32 @@
   }
 
   Node(NodeConfig config, ClientConnections.Limits limits, Transport transport) {
-    this(config, limits, relayed(config), transport);
+    this(config, limits, relaySettings(config), transport);
   }
 
-  /** As much again as for the values of writes: what both hold stays within an eighth. */
-  private static RelaySettings relayed(NodeConfig config) {
+  /**
+   * Returns the bounds for relayed values. Their memory equals that for the values of writes; both
+   * together stay within an eighth of the node's memory.
+   */
+  private static RelaySettings relaySettings(NodeConfig config) {
     return RelaySettings.usual(Math.max(1 << 20, (long) config.memoryMb() << 16));
   }
 
   Node(
       NodeConfig config,
       ClientConnections.Limits limits,
-      RelaySettings relayed,
+      RelaySettings relaySettings,
       Transport transport) {
     this.config = config;
     this.transport = transport;
     log = new Log(config.name(), config.jsonLog());
-    watch = new LoopWatch(this::paused);
-    clients = new ClientConnections(limits, watch);
+    loopWatch = new LoopWatch(this::onStall);
+    clientConnections = new ClientConnections(limits, loopWatch);
     group =
         new MultiThreadIoEventLoopGroup(
-            1, WatchedIoHandler.factory(NioIoHandler.newFactory(), watch));
+            1, WatchedIoHandler.factory(NioIoHandler.newFactory(), loopWatch));
     loop = group.next();
-    values = new MemoryBudget((long) config.memoryMb() << 16);
+    valueMemory = new MemoryBudget((long) config.memoryMb() << 16);
     allocator = new PooledByteBufAllocator(true, 0, 1, 8192, 6, 64, 16, true);
     Bootstrap bootstrap =
         transport
@@ -134,27 +142,34 @@
             .option(
                 ChannelOption.CONNECT_TIMEOUT_MILLIS,
                 (int) Math.max(1, config.settings().limits().connectTimeout() * 1e3));
-    relays = new ValueRelays(relayed, clients::idleClock);
+    relays = new ValueRelays(relaySettings, clientConnections::idleClock);
     dispatcher =
         new Dispatcher(
-            config, loop, bootstrap, config.pool(), STUCK_NANOS, relays, watch::unreadNanos, log);
-  }
-
-  private void paused(long nanos) {
-    log.line("the event loop stood still for " + nanos / 1_000_000 + " ms");
+            config,
+            loop,
+            bootstrap,
+            config.pool(),
+            STALLED_REPLY_NANOS,
+            relays,
+            loopWatch::unreadNanos,
+            log);
+  }
+
+  private void onStall(long nanos) {
+    log.info("the event loop stood still for " + nanos / 1_000_000 + " ms");
     if (dispatcher == null) {
       return;
     }
-    dispatcher.intake().stalled(nanos);
+    dispatcher.intake().onStall(nanos);
     if (listener != null) {
-      // Whoever connected meanwhile is read in the next turn, when it is still known how long its
-      // request may have waited.
-      SocketLook.accept(listener, clients::accepted, ACCEPT_ROUNDS);
+      // Accept now: connections that arrived during the stall are then read in the next iteration,
+      // while it is still known how long their requests may have waited.
+      SocketLook.accept(listener, clientConnections::accepted, MAX_ACCEPT_ROUNDS);
     }
   }
 
-  /** Tells the status where the configuration says so. */
-  private void tellStatus() throws IOException, InterruptedException {
+  /** Opens the status socket if the configuration names one. */
+  private void openStatusSocket() throws IOException, InterruptedException {
     if (config.statusSocket() != null) {
       statusSocket = StatusSocket.open(loop, config.statusSocket(), this::status);
     }
@@ -172,25 +187,25 @@
     return new NodeStatus(
         configuration,
         listener.localAddress().toString().replace("/", ""),
-        mgmt == null ? null : mgmt.address().toString().replace("/", ""),
+        mgmtServer == null ? null : mgmtServer.address().toString().replace("/", ""),
         dispatcher.openRequests(),
-        clients.count(),
+        clientConnections.count(),
         dispatcher.pools().sockets(),
-        dispatcher.targets().states(),
+        dispatcher.targets().countsByState(),
         dispatcher.listStatus(),
-        dispatcher.unserved(),
-        NodeStatus.Values.of(relays()),
+        dispatcher.unservedByCause(),
+        NodeStatus.LargeValues.of(relayCounts()),
         draining,
-        watch.longestNanos() / 1_000_000,
-        watch.pauses(),
-        tier,
-        variants);
+        loopWatch.longestNanos() / 1_000_000,
+        loopWatch.pauses(),
+        tierSocket,
+        variantKeys);
   }
 
   /**
    * Runs a node until it is told to end; returns the exit code.
    *
-   * @param tally whether it writes what it does in each second to its log
+   * @param tally whether it logs a tally line every second
    */
   public static int serve(String configFile, boolean tally) throws InterruptedException {
     NodeConfig config;
@@ -203,19 +218,21 @@
       return 2;
     }
     Log log = new Log(config.name(), config.jsonLog());
-    // First, so that a process that serves beside this one tells it what it has learnt.
-    SharedFolder shared = sharedFolder(config, log);
+    // Open the folder first, so that a process that already serves beside this one leaves its
+    // learnt state there.
+    SharedFolder shared = openSharedFolder(config, log);
     Rehearsal.run(config, log);
     Node node = new Node(config);
-    node.shared = shared;
-    // Before anybody can be answered here: whoever has been is owed an end in order.
+    node.sharedFolder = shared;
+    // Install the hook before any client can connect: each accepted request must be answered at the
+    // end.
     Runtime.getRuntime().addShutdownHook(new Thread(node::drain, "drain"));
     if (config.statusSocket() != null) {
       String digest = digest(bytes);
       node.configuration = new NodeStatus.Configuration(1, digest, 1, digest, null, false);
     }
-    if (!Hangup.handle(() -> node.reload(configFile))) {
-      node.log.line("SIGHUP is ignored here: the configuration file is watched in its place");
+    if (!SighupHandler.register(() -> node.reload(configFile))) {
+      node.log.info("SIGHUP is ignored here: the configuration file is watched in its place");
       node.watch(configFile);
     }
     try {
@@ -226,21 +243,21 @@
       return 1;
     }
     try {
-      node.tellStatus();
+      node.openStatusSocket();
     } catch (IOException | RuntimeException e) {
       System.err.println("serve: " + e.getMessage());
       node.close();
       return 1;
     }
     if (tally) {
-      node.loop.execute(() -> node.dispatcher.tally(node.clients::count));
+      node.loop.execute(() -> node.dispatcher.startTally(node.clientConnections::count));
     }
     node.drained.await();
     return 0;
   }
 
   /**
-   * A node that listens within this process, for who runs many of them side by side.
+   * Starts a node within this process, for callers that run many of them side by side.
    *
    * @throws WireException if its configuration can't be used
    */
@@ -251,26 +268,27 @@
     return node;
   }
 
-  /** Listens; returns the address. */
+  /** Starts to listen; returns the address. */
   SocketAddress start() throws IOException, InterruptedException {
     NodeConfig.Management management = config.management();
     if (management != null) {
-      shared = shared == null ? sharedFolder(config, log) : shared;
-      operators = new OperatorCalls(dispatcher, shared, log, holdings());
+      sharedFolder = sharedFolder == null ? openSharedFolder(config, log) : sharedFolder;
+      operatorCalls = new OperatorCalls(dispatcher, sharedFolder, log, resourceUsage());
     }
     loop.submit(
             () -> {
-              if (operators != null) {
-                operators.look();
+              if (operatorCalls != null) {
+                operatorCalls.synchronize();
               }
-              dispatcher.start(config.known());
-              if (operators != null) {
-                operators.inherit();
+              dispatcher.start(config.knownList());
+              if (operatorCalls != null) {
+                operatorCalls.restoreLearntState();
               }
             })
         .await();
-    // Only a node that can be upgraded shares its address: elsewhere a second one is a mistake.
-    var bound =
+    // Only a node that can be upgraded shares its address: without management calls a second
+    // process on the address is a mistake.
+    var bindFuture =
         (management == null ? transport.server() : transport.sharedServer())
             .group(loop)
             .childOption(ChannelOption.ALLOCATOR, allocator)
@@ -280,20 +298,21 @@
                 new ChannelInitializer<>() {
                   @Override
                   protected void initChannel(Channel channel) {
-                    accept(channel);
+                    initClientChannel(channel);
                   }
                 })
             .bind(config.listen());
-    // On the loop, before the first client is accepted: a restart that begins now finds it.
-    bound.addListener(done -> listening(bound.channel(), done.isSuccess()));
-    if (!bound.await().isSuccess()) {
-      throw new IOException(bound.cause().getMessage());
+    // The listener runs on the event loop before the first client is accepted, so that a restart
+    // that begins at this moment closes the channel.
+    bindFuture.addListener(done -> onBound(bindFuture.channel(), done.isSuccess()));
+    if (!bindFuture.await().isSuccess()) {
+      throw new IOException(bindFuture.cause().getMessage());
     }
-    listener = bound.channel();
+    listener = bindFuture.channel();
     if (management != null) {
       byte[] token =
           management.token() == null ? null : management.token().getBytes(StandardCharsets.UTF_8);
-      mgmt =
+      mgmtServer =
           new MgmtServer(
               loop,
               transport.server(),
@@ -301,122 +320,137 @@
               management.listen(),
               token,
               MgmtServer.PATIENCE_MILLIS,
-              operators);
-      loop.execute(() -> operators.takes(true));
-      loop.scheduleWithFixedDelay(operators::look, LOOK_MILLIS, LOOK_MILLIS, TimeUnit.MILLISECONDS);
+              operatorCalls);
+      loop.execute(() -> operatorCalls.setAcceptingClients(true));
+      loop.scheduleWithFixedDelay(
+          operatorCalls::synchronize,
+          SYNCHRONIZE_INTERVAL_MILLIS,
+          SYNCHRONIZE_INTERVAL_MILLIS,
+          TimeUnit.MILLISECONDS);
     }
     if (config.tier() != null) {
-      tier = TierSocket.open(loop, config.tier(), config.seed(), log::line);
+      tierSocket = TierSocket.open(loop, config.tier(), config.seed(), log::info);
     }
     if (config.variants() != null) {
-      loop.execute(this::shareVariants);
+      loop.execute(this::startVariants);
     }
-    loop.scheduleWithFixedDelay(this::sweep, SWEEP_MILLIS, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
+    loop.scheduleWithFixedDelay(
+        this::sweep, SWEEP_INTERVAL_MILLIS, SWEEP_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     return listener.localAddress();
   }
 
-  /** Its canonical keys; null for none. */
-  VariantKeys variants() {
-    return variants;
+  /** Returns its canonical keys; null if it has none. */
+  VariantKeys variantKeys() {
+    return variantKeys;
   }
 
-  /** Begins to ask for the table of variants, and to replace keys by it. */
-  private void shareVariants() {
+  /** Starts to request the table of variants, and to replace keys by it. */
+  private void startVariants() {
     VariantPart part = config.variants();
-    variants = new VariantKeys(part.file().settings(), part.file().rules());
-    dispatcher.use(new VariantTraffic(variants));
+    variantKeys = new VariantKeys(part.file().settings(), part.file().rules());
+    dispatcher.useVariants(new VariantTraffic(variantKeys));
     Bootstrap calling = transport.client().group(loop);
-    new TablePull(loop, calling, part, config.name(), variants, log::line).start();
+    new TablePull(loop, calling, part, config.name(), variantKeys, log::info).start();
   }
 
-  private void listening(Channel channel, boolean up) {
-    if (up && draining) {
+  private void onBound(Channel channel, boolean bound) {
+    if (bound && draining) {
       channel.close();
-    } else if (up) {
+    } else if (bound) {
       listener = channel;
     }
   }
 
-  private OperatorCalls.Holdings holdings() {
-    return new OperatorCalls.Holdings() {
+  private OperatorCalls.ResourceUsage resourceUsage() {
+    return new OperatorCalls.ResourceUsage() {
       @Override
-      public int clients() {
-        return clients.count();
+      public int clientConnections() {
+        return clientConnections.count();
       }
 
       @Override
-      public int servers() {
+      public int serverSockets() {
         return dispatcher.pools().sockets();
       }
 
       @Override
-      public void share(int otherClients, int otherServers, int open) {
-        clients.share(otherClients);
-        dispatcher.share(otherServers, open);
+      public void reserveForOthers(int otherClients, int otherServers, int open) {
+        clientConnections.share(otherClients);
+        dispatcher.reserveForOthers(otherServers, open);
       }
     };
   }
 
-  /** Opens what the processes of one node share; null if there is nothing, or it can't be used. */
-  private static SharedFolder sharedFolder(NodeConfig config, Log log) {
+  /**
+   * Opens the folder that the processes of one node share; null if none is configured or it can't
+   * be used.
+   */
+  private static SharedFolder openSharedFolder(NodeConfig config, Log log) {
     if (config.management() == null || config.management().folder() == null) {
       return null;
     }
     try {
       return SharedFolder.open(config.management().folder());
     } catch (IOException | RuntimeException e) {
-      // Better a node that can't be upgraded without loss than none.
-      log.line("no shared folder, servers taken out are forgotten at an end: " + e.getMessage());
+      // Run without upgrades that lose no request rather than not at all.
+      log.info(
+          "no shared folder, detached servers are forgotten when the process ends: "
+              + e.getMessage());
       return null;
     }
   }
 
-  private void accept(Channel channel) {
-    MetaCommand.Decoder decoder = new MetaCommand.Decoder(values, config.settings().services());
-    channel.pipeline().addLast(decoder, new ClientHandler(dispatcher.intake(), clients, decoder));
+  private void initClientChannel(Channel channel) {
+    MetaCommand.Decoder decoder =
+        new MetaCommand.Decoder(valueMemory, config.settings().services());
+    channel
+        .pipeline()
+        .addLast(decoder, new ClientHandler(dispatcher.intake(), clientConnections, decoder));
   }
 
   private void sweep() {
     long now = System.nanoTime();
     try {
-      clients.sweep(now);
+      clientConnections.sweep(now);
       dispatcher.pools().sweep(now);
       relays.sweep();
     } catch (RuntimeException e) {
-      // A task that throws is not run again, and then nothing would end what is stuck.
-      log.failure("sweep", e);
+      // A task that throws is not run again, and stalled connections would then never be closed.
+      log.error("sweep", e);
     }
   }
 
-  /** Reads the configuration again whenever its file has changed. */
+  /** Reloads the configuration whenever its file has changed. */
   private void watch(String configFile) {
-    ConfigWatch files = new ConfigWatch(Path.of(configFile), () -> reload(configFile));
+    ConfigWatch configWatch = new ConfigWatch(Path.of(configFile), () -> reload(configFile));
     loop.scheduleWithFixedDelay(
-        files::look, ConfigWatch.LOOK_MILLIS, ConfigWatch.LOOK_MILLIS, TimeUnit.MILLISECONDS);
+        configWatch::poll,
+        ConfigWatch.POLL_INTERVAL_MILLIS,
+        ConfigWatch.POLL_INTERVAL_MILLIS,
+        TimeUnit.MILLISECONDS);
   }
 
   /**
-   * Reads the configuration again. A file that cannot be read, is only half there or makes no sense
-   * changes nothing: the node goes on as it was.
+   * Reloads the configuration. A file that can't be read, is incomplete or invalid changes nothing.
    */
   void reload(String configFile) {
     byte[] bytes = null;
     try {
       bytes = NodeConfig.read(configFile);
-      NodeConfig changed = NodeConfig.load(configFile, bytes);
+      NodeConfig newConfig = NodeConfig.load(configFile, bytes);
       String digest = configuration == null ? null : digest(bytes);
       loop.execute(
           () -> {
-            dispatcher.reload(changed);
-            if (tier != null && changed.tier() != null) {
-              tier.peers(changed.tier().peers());
+            dispatcher.reload(newConfig);
+            if (tierSocket != null && newConfig.tier() != null) {
+              tierSocket.peers(newConfig.tier().peers());
             }
             if (digest != null) {
-              configuration = configuration.accepted(digest, changed.needsRestart(config));
+              configuration = configuration.accepted(digest, newConfig.needsRestart(config));
             }
           });
     } catch (WireException | RuntimeException e) {
-      log.line("the old configuration stays: " + e.getMessage());
+      log.info("the old configuration stays: " + e.getMessage());
       if (configuration != null) {
         String digest = bytes == null ? "" : digest(bytes);
         loop.execute(() -> configuration = configuration.refused(digest, e.getMessage()));
@@ -425,82 +459,90 @@
   }
 
   /**
-   * A planned restart: goes on accepting for as long as connections may come, then ends each one as
-   * it falls idle; returns when all is answered, or when the longest deadline has passed.
+   * Shuts down for a planned restart: accepts connections for a limited time, then closes each one
+   * as it becomes idle. Returns when all requests are answered, or when the longest deadline has
+   * passed.
    */
   void drain() {
-    double longest = Math.min(LONGEST_STOP, config.longestDeadline());
-    long millis = (long) (longest * 1e3) + ACCEPT_MILLIS + 100;
-    long until = System.nanoTime() + millis * 1_000_000L;
+    double drainSeconds = Math.min(MAX_DRAIN_SECONDS, config.longestDeadline());
+    long millis = (long) (drainSeconds * 1e3) + DRAIN_ACCEPT_MILLIS + 100;
+    long deadline = System.nanoTime() + millis * 1_000_000L;
     if (group.isShuttingDown()) {
-      // It has never listened, or has ended already.
+      // It has never listened, or has already closed.
       return;
     }
-    loop.execute(() -> beginDrain(until));
+    loop.execute(() -> beginDrain(deadline));
     try {
       drained.await(millis, TimeUnit.MILLISECONDS);
       if (statusSocket != null) {
         statusSocket.close();
       }
-      leaveShared();
+      closeSharedFolder();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  private void leaveShared() {
-    if (shared != null) {
+  private void closeSharedFolder() {
+    if (sharedFolder != null) {
       try {
-        shared.close();
+        sharedFolder.close();
       } catch (IOException e) {
-        // The lock ends with the process, and the file with the next look of another one.
+        // The lock ends with the process, and another process of the node removes the file at its
+        // next check.
       }
     }
   }
 
-  private void beginDrain(long until) {
+  private void beginDrain(long deadline) {
     if (draining) {
       return;
     }
     draining = true;
     if (listener == null) {
-      // It does not listen yet: nothing was taken.
+      // It does not listen yet, so it has received no request.
       drained.countDown();
       return;
     }
-    dispatcher.endBy(until - LAST_ANSWERS_NANOS);
+    dispatcher.answerAllBy(deadline - FINAL_ANSWER_MARGIN_NANOS);
     boolean successor = false;
-    if (operators != null) {
-      operators.takes(false);
-      successor = operators.othersTake();
+    if (operatorCalls != null) {
+      operatorCalls.setAcceptingClients(false);
+      successor = operatorCalls.othersAcceptClients();
     }
-    if (tier != null) {
-      tier.leave();
+    if (tierSocket != null) {
+      tierSocket.leave();
     }
-    // Where another process listens here, whoever comes back had better come to that one.
+    // If another process listens here, close at once: clients that reconnect should reach that
+    // process.
     loop.schedule(
         () -> {
-          // Whoever has connected while this node did not run was told that it listens.
-          SocketLook.accept(listener, clients::accepted, ACCEPT_ROUNDS);
+          // Accept what has connected while the event loop stalled: those clients were accepted by
+          // the kernel.
+          SocketLook.accept(listener, clientConnections::accepted, MAX_ACCEPT_ROUNDS);
           listener.close();
-          // The socket is closed when the loop next looks at its sockets: nothing long before that.
+          // The socket is closed when the event loop next polls its sockets, so connections close
+          // after that.
           loop.schedule(
-              () -> clients.drain(until, drained::countDown), ROUND_MILLIS, TimeUnit.MILLISECONDS);
+              () -> clientConnections.drain(deadline, drained::countDown),
+              LISTENER_CLOSE_MILLIS,
+              TimeUnit.MILLISECONDS);
         },
-        successor ? 0 : ACCEPT_MILLIS,
+        successor ? 0 : DRAIN_ACCEPT_MILLIS,
         TimeUnit.MILLISECONDS);
   }
 
   /**
-   * Rehearses on made-up settings, for a look at what a start loads; returns the exit code. A start
-   * loads what listens and connects over TCP, and what takes signals, beyond its own rehearsal.
+   * Runs the rehearsal with sample settings, to record which classes a start loads; returns the
+   * exit code. Beyond its own rehearsal, a start loads the classes that listen and connect over TCP
+   * and that handle signals.
    */
   public static int rehearse() {
     try {
       Log log = new Log("rehearsal", false);
-      int sent = Rehearsal.run(Rehearsal.sample(true), log);
-      Hangup.handle(() -> {});
-      Node node = new Node(Rehearsal.sample(false));
+      int sent = Rehearsal.run(Rehearsal.sampleConfig(true), log);
+      SighupHandler.register(() -> {});
+      Node node = new Node(Rehearsal.sampleConfig(false));
       try {
         SocketAddress address = node.start();
         Transport.TCP
@@ -532,13 +574,13 @@
     return dispatcher.pools().sockets();
   }
 
-  /** How many servers the list names, as the event loop knows it. */
-  public Future<Integer> listed() {
-    return loop.submit(this::servers);
+  /** Returns how many servers the list names, read on the event loop. */
+  public Future<Integer> listedServers() {
+    return loop.submit(this::listedServerCount);
   }
 
-  /** How many servers the list names. */
-  int servers() {
+  /** Returns how many servers the list names; call it on the event loop. */
+  int listedServerCount() {
     return dispatcher.targets().detachments().listed();
   }
 
@@ -546,39 +588,39 @@
     return dispatcher.openRequests();
   }
 
-  int clients() {
-    return clients.count();
+  int clientCount() {
+    return clientConnections.count();
   }
 
-  /** What has become of large values. */
-  Relays relays() {
+  /** Returns the counts of relayed large values. */
+  Relays relayCounts() {
     return relays.figures();
   }
 
-  boolean drainsClients() {
-    return clients.draining();
+  boolean isDrainingClients() {
+    return clientConnections.draining();
   }
 
-  /** Where operators call; null for nowhere. */
+  /** Returns the address for operators; null if there is none. */
   SocketAddress mgmtAddress() {
-    return mgmt == null ? null : mgmt.address();
+    return mgmtServer == null ? null : mgmtServer.address();
   }
 
-  /** Whether another process of this node takes clients. */
-  boolean seesSuccessor() {
-    return operators.othersTake();
+  /** Returns whether another process of this node accepts clients. */
+  boolean hasSuccessor() {
+    return operatorCalls.othersAcceptClients();
   }
 
   LoopWatch watch() {
-    return watch;
+    return loopWatch;
   }
 
-  /** Ends at once. */
+  /** Stops the node at once, without draining. */
   @Override
   public void close() {
     log.mute();
-    // A short quiet time: what the closing of channels sets off still releases their buffers.
+    // A short quiet period: handlers that run as channels close still release their buffers.
     group.shutdownGracefully(30, 1000, TimeUnit.MILLISECONDS).syncUninterruptibly();
-    leaveShared();
+    closeSharedFolder();
   }
 }
--- a/src/main/java/beamspread/node/NodeConfig.java
+++ b/src/main/java/beamspread/node/NodeConfig.java
@@ -25,24 +25,24 @@
 import java.util.Objects;
 
 /**
- * What the platform tells a node.
+ * The configuration of a node, as the platform provides it.
  *
- * @param listen where clients connect
- * @param discovery where the list of servers is
+ * @param listen the address for clients
+ * @param discovery the address of discovery
  * @param seed for random numbers
  * @param sockets file descriptors that the process may hold
  * @param memoryMb memory that the process may hold
- * @param known the list of servers as this node last had it
- * @param settings the object that an instance in the simulator is told
- * @param told the text that the settings were read from; null if they were not read
- * @param pool what bounds the connections to cache servers
+ * @param knownList the list of servers as this node last had it
+ * @param settings the settings, the same object that an instance in the simulator receives
+ * @param settingsText the text that the settings were read from; null if they were not read
+ * @param pool the bounds on connections to cache servers
  * @param name the node's name, for its log
  * @param jsonLog whether its log is one JSON object a line
- * @param statusSocket the file of the Unix domain socket on which the node tells its status; null
+ * @param statusSocket the file of the Unix domain socket on which the node reports its status; null
  *     for none
- * @param management where operators call, null for nowhere
- * @param tier its part in the membership of its tier, null for none
- * @param variants its part in variant keys, null for none
+ * @param management the calls of operators, null for none
+ * @param tier its membership of its tier, null for none
+ * @param variants its use of variant keys, null for none
  */
 record NodeConfig(
     SocketAddress listen,
@@ -50,9 +50,9 @@
     long seed,
     int sockets,
     int memoryMb,
-    MemberList known,
+    MemberList knownList,
     Settings settings,
-    Message told,
+    Message settingsText,
     PoolSettings pool,
     String name,
     boolean jsonLog,
@@ -62,25 +62,26 @@
     VariantPart variants) {
 
   /**
-   * The part of the descriptors that open requests may take: three quarters of what clients hold at
-   * most. Guards against a jam in which those who wait hold every connection: who comes then is not
-   * even refused. It could do harm where answers take long and nothing is wrong with that.
+   * Divisor of the descriptors that yields the limit on open requests: a quarter of them, which is
+   * three quarters of what clients hold at most. Without the limit, waiting requests could hold
+   * every connection, and new clients would not even be refused. It could do harm where answers
+   * normally take long.
    */
-  private static final int OPEN_PART = 4;
+  private static final int OPEN_REQUESTS_DIVISOR = 4;
 
-  /** What other members are told that this one runs. */
-  private static final String VERSION = "0.1.0";
+  /** The version that other members of the tier see. */
+  private static final String ADVERTISED_VERSION = "0.1.0";
 
   /**
-   * Where operators call this node, and what its processes share.
+   * The calls of operators, and the folder that the processes of this node share.
    *
-   * @param listen the second address
-   * @param token what callers must name to change anything, null for nothing
-   * @param folder what two processes of this node share, null for none
+   * @param listen the address for operators
+   * @param token what callers must present to change anything, null for nothing
+   * @param folder shared by two processes of this node, null for none
    */
   record Management(SocketAddress listen, String token, Path folder) {}
 
-  /** The bytes of the file of this name, usually from {@code ROUTER_CONFIG}. */
+  /** Reads the configuration file, usually the one that {@code ROUTER_CONFIG} names. */
   static byte[] read(String file) throws WireException {
     if (file == null || file.isEmpty()) {
       throw new WireException("ROUTER_CONFIG does not name a file");
@@ -92,7 +93,7 @@
     }
   }
 
-  /** Takes what was read from the file of this name. */
+  /** Parses the bytes of the configuration file; errors name the file. */
   static NodeConfig load(String file, byte[] bytes) throws WireException {
     try {
       return parse(Message.parse(new String(bytes, StandardCharsets.UTF_8)));
@@ -103,27 +104,27 @@
 
   static NodeConfig parse(Message config) throws WireException {
     Message limits = config.requiredNested("limits");
-    Message told = config.requiredNested("settings");
-    Settings settings = Dialect.settings(told);
-    MemberList known = MemberList.parse(config.requiredNested("known"));
-    if (!known.faults().isEmpty()) {
-      throw new WireException("known: " + String.join("; ", known.faults()));
+    Message settingsText = config.requiredNested("settings");
+    Settings settings = Dialect.settings(settingsText);
+    MemberList knownList = MemberList.parse(config.requiredNested("known"));
+    if (!knownList.faults().isEmpty()) {
+      throw new WireException("known: " + String.join("; ", knownList.faults()));
     }
-    List<String> faults = SettingsCheck.faults(told);
+    List<String> faults = SettingsCheck.faults(settingsText);
     if (!faults.isEmpty()) {
       throw new WireException("settings: " + String.join("; ", faults));
     }
     int sockets = (int) limits.requiredNumber("sockets");
-    settings = settings.with(settings.limits().open(Math.max(8, sockets / OPEN_PART)));
+    settings = settings.with(settings.limits().open(Math.max(8, sockets / OPEN_REQUESTS_DIVISOR)));
     return new NodeConfig(
         MemberList.listenAddress(config.requiredText("listen")),
         MemberList.address(config.requiredText("discovery")),
         seed(config.requiredText("seed")),
         sockets,
         (int) limits.requiredNumber("memory_mb"),
-        known,
+        knownList,
         settings,
-        told,
+        settingsText,
         pool(settings, sockets, config.text("pool_file", null)),
         config.text("name", "node"),
         jsonLog(config.text("log_format", "text")),
@@ -133,7 +134,10 @@
         variants(config, settings));
   }
 
-  /** Where the platform lets nodes talk and the operators' file says so; else null. */
+  /**
+   * Returns the tier membership if the platform provides peer addresses and {@code tier_file} is
+   * set; else null.
+   */
   private static TierPart tier(Message config, Settings settings) throws WireException {
     String file = config.text("tier_file", null);
     if (file == null) {
@@ -141,11 +145,12 @@
     }
     if (!config.has("peer_listen") || !config.has("peers")) {
       throw new WireException(
-          "tier_file: nodes may not talk here, since peer_listen and peers are not given");
+          "tier_file: nodes may not talk here, because peer_listen and peers are not set");
     }
-    TierSettings of;
+    TierSettings tierSettings;
     try {
-      of = TierPart.settings(Message.parse(new String(read(file), StandardCharsets.UTF_8)));
+      tierSettings =
+          TierPart.settings(Message.parse(new String(read(file), StandardCharsets.UTF_8)));
     } catch (WireException e) {
       throw new WireException("tier_file " + file + ": " + e.getMessage());
     }
@@ -165,26 +170,27 @@
     Card card;
     try {
       listen = MemberList.listenAddress(config.requiredText("peer_listen"));
-      card = new Card(config.text("name", "node"), settings.zone(), VERSION);
+      card = new Card(config.text("name", "node"), settings.zone(), ADVERTISED_VERSION);
     } catch (WireException e) {
       throw new WireException("peer_listen: " + e.getMessage());
     } catch (IllegalArgumentException e) {
       throw new WireException("tier_file: " + e.getMessage());
     }
-    return new TierPart(listen, peers, settings.number(), card, of, management(config) != null);
+    return new TierPart(
+        listen, peers, settings.number(), card, tierSettings, management(config) != null);
   }
 
-  /** Where the operators' file says which keys are variants of one another; else null. */
+  /** Returns the rules for variant keys if {@code variants_file} is set; else null. */
   private static VariantPart variants(Message config, Settings settings) throws WireException {
     String file = config.text("variants_file", null);
     if (file == null) {
       return null;
     }
-    VariantFile read;
+    VariantFile variantFile;
     try {
-      read = VariantFileReader.read(new String(read(file), StandardCharsets.UTF_8));
-      for (VariantRule rule : read.rules().all()) {
-        checkReads(rule, settings);
+      variantFile = VariantFileReader.read(new String(read(file), StandardCharsets.UTF_8));
+      for (VariantRule rule : variantFile.rules().all()) {
+        requireSafeRequests(rule, settings);
       }
     } catch (WireException e) {
       throw new WireException("variants_file " + file + ": " + e.getMessage());
@@ -195,18 +201,19 @@
     } catch (WireException e) {
       throw new WireException("variants_agent: " + e.getMessage());
     }
-    return new VariantPart(read, agent, token(config, "variants_token_file"));
+    return new VariantPart(variantFile, agent, readToken(config, "variants_token_file"));
   }
 
-  /** Only requests whose effect may be repeated may be asked under another key. */
-  private static void checkReads(VariantRule rule, Settings settings) throws WireException {
+  /** Rejects rules for requests other than safe ones: only those may be sent under another key. */
+  private static void requireSafeRequests(VariantRule rule, Settings settings)
+      throws WireException {
     for (String request : rule.requests()) {
       if (settings.services().stream()
           .noneMatch(
               service ->
                   service.name().equals(request) && service.effect() == Settings.Effect.SAFE)) {
         throw new WireException(
-            "rule " + rule.prefix() + ": '" + request + "' is no class of requests that only read");
+            "rule " + rule.prefix() + ": '" + request + "' is not a class of read-only requests");
       }
     }
   }
@@ -224,12 +231,12 @@
     }
     return new Management(
         address,
-        token(config, "mgmt_token_file"),
-        folder(config.text("name", "node"), config.text("state_folder", null)));
+        readToken(config, "mgmt_token_file"),
+        stateFolder(config.text("name", "node"), config.text("state_folder", null)));
   }
 
-  /** The token in the file that a field names; null where it names none. */
-  private static String token(Message config, String field) throws WireException {
+  /** Returns the token in the file that a field names; null if it names none. */
+  private static String readToken(Message config, String field) throws WireException {
     String file = config.text(field, null);
     if (file == null) {
       return null;
@@ -241,22 +248,25 @@
     return token;
   }
 
-  /** Several nodes may share a folder for temporary files, so that the name tells them apart. */
-  private static Path folder(String name, String configured) throws WireException {
-    String temporary = System.getenv("TMPDIR");
+  /**
+   * Returns the folder for state. Several nodes may share a folder for temporary files, so the
+   * node's name is part of the path.
+   */
+  private static Path stateFolder(String name, String configured) throws WireException {
+    String temporaryFolder = System.getenv("TMPDIR");
     try {
       if (configured != null) {
         return Path.of(configured);
       }
-      return temporary == null || temporary.isEmpty()
+      return temporaryFolder == null || temporaryFolder.isEmpty()
           ? null
-          : Path.of(temporary, "beamspread-" + name.replaceAll("[^A-Za-z0-9._-]", "_"));
+          : Path.of(temporaryFolder, "beamspread-" + name.replaceAll("[^A-Za-z0-9._-]", "_"));
     } catch (InvalidPathException e) {
       throw new WireException("state_folder '" + configured + "' is not a path");
     }
   }
 
-  /** What the operators' file says of connections to cache servers, if there is one. */
+  /** Returns the bounds on connections to cache servers, from {@code pool_file} if it is set. */
   private static PoolSettings pool(Settings settings, int sockets, String file)
       throws WireException {
     if (file == null) {
@@ -287,28 +297,29 @@
   }
 
   /**
-   * Whether a node that was started with another configuration takes this one over in part only.
+   * Returns whether a node that was started with another configuration can apply this one only in
+   * part.
    */
-  boolean needsRestart(NodeConfig started) {
-    // Not the settings themselves: a record's first comparison makes a hundred classes, and a
-    // reload
-    // under load on a part of a core would stand still for a fifth of a second.
-    return !Objects.equals(told, started.told)
-        || !listen.equals(started.listen)
-        || sockets != started.sockets
-        || memoryMb != started.memoryMb
-        || jsonLog != started.jsonLog
-        || !Objects.equals(statusSocket, started.statusSocket)
+  boolean needsRestart(NodeConfig running) {
+    // Compares the text instead of the settings: the first comparison of records generates a
+    // hundred classes, and a reload under load on a fraction of a core would stall the event loop
+    // for a fifth of a second.
+    return !Objects.equals(settingsText, running.settingsText)
+        || !listen.equals(running.listen)
+        || sockets != running.sockets
+        || memoryMb != running.memoryMb
+        || jsonLog != running.jsonLog
+        || !Objects.equals(statusSocket, running.statusSocket)
         || !Objects.equals(
             tier == null ? null : tier.settings(),
-            started.tier == null ? null : started.tier.settings())
-        || (variants == null) != (started.variants == null)
+            running.tier == null ? null : running.tier.settings())
+        || (variants == null) != (running.variants == null)
         || !Objects.equals(
             management == null ? null : management.listen,
-            started.management == null ? null : started.management.listen);
+            running.management == null ? null : running.management.listen);
   }
 
-  /** The longest time that a client may wait, in seconds. */
+  /** Returns the longest deadline of all classes, in seconds. */
   double longestDeadline() {
     return settings.services().stream()
         .mapToDouble(Settings.ServiceClass::deadline)
--- a/src/main/java/beamspread/node/NodeStatus.java
+++ b/src/main/java/beamspread/node/NodeStatus.java
@@ -14,22 +14,22 @@
 import java.util.Map;
 
 /**
- * What a node says of itself, as one JSON object on one line.
+ * The status of a node, written as one JSON object on one line.
  *
- * @param configuration how the readings of the configuration fared
- * @param listen where clients connect
- * @param mgmt where operators call, null for nowhere
- * @param openRequests requests taken and not answered
+ * @param configuration the results of reading the configuration
+ * @param listen the address for clients
+ * @param mgmt the address for operators, null for none
+ * @param openRequests requests received and not answered
  * @param clientConnections connections of clients
- * @param serverConnections sockets to cache servers: open, coming up, or being given up
+ * @param serverConnections sockets to cache servers: open, connecting, or closing
  * @param servers how many cache servers the list names in each state
- * @param list how its list of cache servers fares
- * @param unserved how many requests it has answered itself for each cause, since the start
- * @param values how large values fare
+ * @param list the status of the list of cache servers
+ * @param unserved how many requests this node has answered itself for each cause, since the start
+ * @param largeValues counts of large values
  * @param draining whether a planned restart has begun
- * @param longestTurnMs the longest turn of the event loop since the start, in milliseconds
- * @param pauses how many turns took 50 ms or more
- * @param tier this node's part in its tier, null for none
+ * @param longestTurnMs the longest iteration of the event loop since the start, in milliseconds
+ * @param pauses how many iterations took 50 ms or more
+ * @param tier this node's membership of its tier, null for none
  * @param variants its canonical keys, null for none
  */
 record NodeStatus(
@@ -42,7 +42,7 @@
     Map<ServerEntry.State, Integer> servers,
     ListStatus list,
     Map<UnservedCause, Long> unserved,
-    Values values,
+    LargeValues largeValues,
     boolean draining,
     long longestTurnMs,
     int pauses,
@@ -50,15 +50,16 @@
     VariantKeys variants) {
 
   /**
-   * How the readings of the configuration fared. A reading is over, for good or ill, when {@code
-   * readings} has grown.
+   * The results of reading the configuration. A reading is complete, accepted or refused, once
+   * {@code readings} has grown.
    *
-   * @param generation which accepted configuration the node runs, 1 for that of its start
-   * @param digest SHA-256 of the file that it runs, in hexadecimal
+   * @param generation number of the accepted configuration in force, 1 for the one of the start
+   * @param digest SHA-256 of the file in force, in hexadecimal
    * @param readings how often the file was read, the start included
    * @param triedDigest SHA-256 of the file that was read last; empty if it could not be read
-   * @param refusal why the last reading changed nothing; null if it was taken over
-   * @param needsRestart whether parts of what was accepted wait for the next start
+   * @param refusal why the last reading was refused; null if it was accepted
+   * @param needsRestart whether parts of the accepted configuration take effect only at the next
+   *     start
    */
   record Configuration(
       long generation,
@@ -68,29 +69,31 @@
       String refusal,
       boolean needsRestart) {
 
-    /** The state after one more reading that was taken over. */
+    /** Returns the state after one more reading that was accepted. */
     Configuration accepted(String newDigest, boolean restart) {
       return new Configuration(generation + 1, newDigest, readings + 1, newDigest, null, restart);
     }
 
-    /** The state after one more reading that was refused. */
-    Configuration refused(String badDigest, String why) {
-      return new Configuration(generation, digest, readings + 1, badDigest, why, needsRestart);
+    /** Returns the state after one more reading that was refused. */
+    Configuration refused(String refusedDigest, String reason) {
+      return new Configuration(
+          generation, digest, readings + 1, refusedDigest, reason, needsRestart);
     }
   }
 
   /**
-   * Values of over 64 KiB, since the start but for the first two.
+   * Counts of values over 64 KiB, since the start except for the first two.
    *
-   * @param open on their way now
-   * @param heldBytes bytes of them that were read and not yet taken by clients
-   * @param passed taken in full
-   * @param broken not finished by their cache servers
-   * @param slow not finished since their clients took too little
+   * @param open being relayed now
+   * @param heldBytes bytes that were read and not yet accepted by clients
+   * @param completed relayed completely
+   * @param brokenByServers not completed by their cache servers
+   * @param slowClients aborted because their clients read too slowly
    */
-  record Values(int open, long heldBytes, long passed, long broken, long slow) {
-    static Values of(Relays relays) {
-      return new Values(
+  record LargeValues(
+      int open, long heldBytes, long completed, long brokenByServers, long slowClients) {
+    static LargeValues of(Relays relays) {
+      return new LargeValues(
           relays.open(),
           relays.held(),
           relays.passed(),
@@ -102,9 +105,9 @@
       json.writeObjectFieldStart("large_values");
       json.writeNumberField("open", open);
       json.writeNumberField("held_bytes", heldBytes);
-      json.writeNumberField("passed", passed);
-      json.writeNumberField("broken_by_servers", broken);
-      json.writeNumberField("slow_clients", slow);
+      json.writeNumberField("passed", completed);
+      json.writeNumberField("broken_by_servers", brokenByServers);
+      json.writeNumberField("slow_clients", slowClients);
       json.writeEndObject();
     }
   }
@@ -130,7 +133,7 @@
               json.writeEndObject();
               list.write(json);
               Json.writeCounts(json, "unserved", unserved);
-              values.write(json);
+              largeValues.write(json);
               json.writeBooleanField("draining", draining);
               json.writeNumberField("longest_turn_ms", longestTurnMs);
               json.writeNumberField("pauses", pauses);
--- a/src/main/java/beamspread/node/OpenRequest.java
+++ b/src/main/java/beamspread/node/OpenRequest.java
@@ -6,33 +6,37 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A request that this node has taken, from its last byte to its final answer and last outcome. */
+/**
+ * A request that this node has received, kept until it has its final answer and the outcomes of all
+ * its attempts.
+ */
 final class OpenRequest {
   final MetaCommand command;
   final ClientHandler.Slot slot;
   final long deadlineNanos;
-  private final long takenNanos;
+  private final long receivedNanos;
   final List<RequestAttempt> attempts = new ArrayList<>(1);
 
-  /** What became of its key; null if it is as the client sent it. */
-  VariantKeys.Rewrite rewrite;
+  /** The rewrite of its key to a canonical one; null if the key is as the client sent it. */
+  VariantKeys.Rewrite keyRewrite;
 
-  /** Attempts whose outcome the module has not been told. */
-  int out;
+  /** Number of attempts whose outcome the decision module has not received. */
+  int attemptsInFlight;
 
-  /** Whether the final answer is given, or the client has gone. */
+  /** Whether the final answer was given or the client has disconnected. */
   boolean ended;
 
-  OpenRequest(MetaCommand command, ClientHandler.Slot slot, long takenNanos, long deadlineNanos) {
-    this.takenNanos = takenNanos;
+  OpenRequest(
+      MetaCommand command, ClientHandler.Slot slot, long receivedNanos, long deadlineNanos) {
+    this.receivedNanos = receivedNanos;
     this.command = command;
     this.slot = slot;
     this.deadlineNanos = deadlineNanos;
   }
 
-  /** Seconds since it was taken. */
-  double age() {
-    return (System.nanoTime() - takenNanos) / 1e9;
+  /** Returns the seconds since it was received. */
+  double ageSeconds() {
+    return (System.nanoTime() - receivedNanos) / 1e9;
   }
 
   String id() {
--- a/src/main/java/beamspread/node/OpenRequests.java
+++ b/src/main/java/beamspread/node/OpenRequests.java
@@ -6,21 +6,21 @@
 import java.util.Map;
 
 /**
- * The requests that this node has taken, each until it has its final answer and the outcomes of all
- * its attempts are told. All of it runs on the event loop.
+ * The requests that this node has received, each kept until it has its final answer and the
+ * outcomes of all its attempts are reported. Runs on the event loop only.
  */
 final class OpenRequests {
   private final RequestMetrics metrics;
   private final Map<String, OpenRequest> byId = new HashMap<>();
 
-  /** Requests that have no final answer, and whose clients are still there. */
+  /** Number of requests that have no final answer and whose clients are still connected. */
   private int unanswered;
 
   OpenRequests(RequestMetrics metrics) {
     this.metrics = metrics;
   }
 
-  /** The request of this id; null if none is open. */
+  /** Returns the open request with this id; null if there is none. */
   OpenRequest get(String id) {
     return byId.get(id);
   }
@@ -33,12 +33,12 @@
     return unanswered;
   }
 
-  /** Attempts whose outcome is not told yet. */
-  int attempts() {
-    return byId.values().stream().mapToInt(request -> request.out).sum();
+  /** Returns the number of attempts whose outcome is not reported yet. */
+  int attemptsInFlight() {
+    return byId.values().stream().mapToInt(request -> request.attemptsInFlight).sum();
   }
 
-  /** Attempts that wait for a connection. */
+  /** Returns the attempts that wait for a connection. */
   List<RequestAttempt> unsentAttempts() {
     return byId.values().stream()
         .flatMap(request -> request.attempts.stream())
@@ -51,41 +51,41 @@
     unanswered++;
   }
 
-  /** The request has its final answer, or its client has gone. */
-  void over(OpenRequest request) {
+  /** Marks a request as ended: it has its final answer, or its client has disconnected. */
+  void markEnded(OpenRequest request) {
     request.ended = true;
     unanswered--;
   }
 
-  /** Forgets what is over and has no attempt out. */
-  void settle(OpenRequest request) {
+  /** Releases the buffers of an ended request, and removes it once it has no attempt in flight. */
+  void removeIfComplete(OpenRequest request) {
     if (request.ended) {
       request.command.release();
-      if (request.out == 0) {
+      if (request.attemptsInFlight == 0) {
         byId.remove(request.id(), request);
       }
     }
   }
 
-  /** Gives the final answer, if it is not given and the request is open. */
-  void end(OpenRequest request, Figures.Reply reply, String answer) {
+  /** Gives the final answer, unless the request is null or has already ended. */
+  void answer(OpenRequest request, Figures.Reply reply, String line) {
     if (request != null && !request.ended) {
-      over(request);
+      markEnded(request);
       metrics.notServed(request, reply);
-      request.slot.line(answer);
-      settle(request);
+      request.slot.line(line);
+      removeIfComplete(request);
     }
   }
 
   void fail(OpenRequest request) {
-    end(request, Figures.Reply.ERROR, "SERVER_ERROR failed");
+    answer(request, Figures.Reply.ERROR, "SERVER_ERROR failed");
   }
 
   void failAll() {
     List.copyOf(byId.values()).forEach(this::fail);
   }
 
-  /** Answers those whose time is up. */
+  /** Fails the requests whose deadline has passed. */
   void failOverdue(long now) {
     for (OpenRequest request : List.copyOf(byId.values())) {
       if (now - request.deadlineNanos > 0) {
--- a/src/main/java/beamspread/node/OperatorCalls.java
+++ b/src/main/java/beamspread/node/OperatorCalls.java
@@ -12,139 +12,154 @@
 import java.util.Set;
 
 /**
- * Carries out what operators call for, and keeps this process at one with the others of its node.
- * All of it runs on the event loop.
+ * Carries out the calls of operators, and keeps this process in step with the other processes of
+ * its node. Runs on the event loop only.
  */
 final class OperatorCalls implements MgmtCalls {
-  /** What two processes of one node share of what it may hold. */
-  interface Holdings {
-    /** Connections of clients that this process holds. */
-    int clients();
+  /**
+   * The connections of this process, and the limits that it shares with the other processes of its
+   * node.
+   */
+  interface ResourceUsage {
+    /** Returns the number of client connections that this process holds. */
+    int clientConnections();
 
-    /** Sockets to cache servers that this process holds. */
-    int servers();
+    /** Returns the number of sockets to cache servers that this process holds. */
+    int serverSockets();
 
-    /** The others hold so many, and have so many requests open. */
-    void share(int clients, int servers, int open);
+    /** Reserves what the other processes hold: connections, sockets, and open requests. */
+    void reserveForOthers(int clientConnections, int serverSockets, int openRequests);
   }
 
   private final Dispatcher dispatcher;
   private final Log log;
 
-  /** What all processes of this node share, null for nothing. */
+  /** Shared by all processes of this node; null if there is none. */
   private final SharedFolder folder;
 
-  /** What this process holds, and who is told what the others hold. */
-  private final Holdings holdings;
+  /** Reports what this process holds, and receives what the others hold. */
+  private final ResourceUsage usage;
 
-  /** Taken out here and not on record, since the folder could not be written to. */
-  private final Set<Long> unrecorded = new HashSet<>();
+  /**
+   * Servers that are detached in this process but not on record, because writing to the folder
+   * failed.
+   */
+  private final Set<Long> unrecordedDetachments = new HashSet<>();
 
-  private int others;
-  private volatile boolean othersTake;
+  private int otherProcesses;
+  private volatile boolean othersAcceptClients;
   private SharedFolder.Phase phase = SharedFolder.Phase.STARTS;
-  private boolean troubled;
+  private boolean folderFailed;
 
   /**
-   * @param folder what all processes of this node share, null for nothing
+   * @param folder shared by all processes of this node, null for none
    */
-  OperatorCalls(Dispatcher dispatcher, SharedFolder folder, Log log, Holdings holdings) {
+  OperatorCalls(Dispatcher dispatcher, SharedFolder folder, Log log, ResourceUsage usage) {
     this.dispatcher = dispatcher;
     this.folder = folder;
     this.log = log;
-    this.holdings = holdings;
+    this.usage = usage;
   }
 
-  /** This process takes clients from now on, or no more; looks at the others, too. */
-  void takes(boolean now) {
-    phase = now ? SharedFolder.Phase.TAKES : SharedFolder.Phase.ENDS;
-    look();
+  /** Sets whether this process accepts clients, and synchronizes with the other processes. */
+  void setAcceptingClients(boolean accepting) {
+    phase = accepting ? SharedFolder.Phase.TAKES : SharedFolder.Phase.ENDS;
+    synchronize();
   }
 
-  /** Whether another process of this node takes clients, as of the last look. */
-  boolean othersTake() {
-    return othersTake;
+  /**
+   * Returns whether another process of this node accepts clients, as of the last synchronization.
+   */
+  boolean othersAcceptClients() {
+    return othersAcceptClients;
   }
 
-  /** Takes in what the other processes of this node have done. */
-  void look() {
+  /**
+   * Publishes this process's state in the shared folder, and applies what the others have written
+   * there.
+   */
+  void synchronize() {
     if (folder == null) {
       return;
     }
     SharedFolder.Sight sight;
     try {
-      record();
+      recordDetachments();
       folder.show(
           new SharedFolder.Shown(
-              phase, holdings.clients(), holdings.servers(), dispatcher.unanswered()));
+              phase, usage.clientConnections(), usage.serverSockets(), dispatcher.unanswered()));
       sight = folder.look();
     } catch (IOException e) {
-      if (!troubled) {
-        log.failure("shared folder", e);
+      if (!folderFailed) {
+        log.error("shared folder", e);
       }
-      troubled = true;
+      folderFailed = true;
       return;
     }
-    troubled = false;
-    othersTake = sight.othersTake();
-    if (sight.others().size() != others) {
-      others = sight.others().size();
-      log.line(others + " other processes of this node run");
+    folderFailed = false;
+    othersAcceptClients = sight.othersTake();
+    if (sight.others().size() != otherProcesses) {
+      otherProcesses = sight.others().size();
+      log.info(otherProcesses + " other processes of this node are running");
     }
-    holdings.share(
+    usage.reserveForOthers(
         sight.others().stream().mapToInt(SharedFolder.Shown::clients).sum(),
         sight.others().stream().mapToInt(SharedFolder.Shown::servers).sum(),
         sight.others().stream().mapToInt(SharedFolder.Shown::open).sum());
-    if (phase == SharedFolder.Phase.TAKES && others > 0) {
-      leaveLearnt();
+    if (phase == SharedFolder.Phase.TAKES && otherProcesses > 0) {
+      writeLearntState();
     }
     Detachments detachments = dispatcher.targets().detachments();
-    Set<Long> here = detachments.detached();
+    Set<Long> detachedHere = detachments.detached();
     for (long server : sight.detached()) {
-      if (!here.contains(server) && detachments.hasRoom()) {
+      if (!detachedHere.contains(server) && detachments.hasRoom()) {
         dispatcher.targets().detach(server);
       }
     }
-    for (long server : here) {
+    for (long server : detachedHere) {
       if (!sight.detached().contains(server)) {
         dispatcher.targets().attach(server);
       }
     }
   }
 
-  /** Tells one that starts beside this process what it had better know from the start. */
-  private void leaveLearnt() {
-    byte[] note = dispatcher.learnt();
+  /** Writes the learnt state for a process that starts beside this one. */
+  private void writeLearntState() {
+    byte[] note = dispatcher.encodeLearntState();
     if (note == null) {
       return;
     }
     try {
       folder.leaveLearnt(note);
     } catch (IOException e) {
-      log.failure("note to a successor", e);
+      log.error("write learnt state for a successor", e);
     }
   }
 
-  /** Takes over what the process before this one has learnt, if it is still true. */
-  void inherit() {
+  /** Restores the learnt state of the previous process, if it is still valid. */
+  void restoreLearntState() {
     if (folder == null) {
       return;
     }
     try {
       byte[] note = folder.learnt();
-      if (note != null && dispatcher.inherit(note)) {
-        log.line("goes on with what the process before has learnt");
+      if (note != null && dispatcher.restoreLearntState(note)) {
+        log.info("goes on with what the process before has learnt");
       }
     } catch (IOException e) {
-      log.failure("note of a predecessor", e);
+      log.error("read learnt state of a predecessor", e);
     }
   }
 
-  /** Puts on record what could not be so far, or fails: no look may take it for put back. */
-  private void record() throws IOException {
-    for (long server : Set.copyOf(unrecorded)) {
+  /**
+   * Records detached servers that could not be recorded so far. Throws if that still fails, so that
+   * the caller doesn't mistake a server that is missing from the record for one that was attached
+   * again.
+   */
+  private void recordDetachments() throws IOException {
+    for (long server : Set.copyOf(unrecordedDetachments)) {
       folder.detach(server);
-      unrecorded.remove(server);
+      unrecordedDetachments.remove(server);
     }
   }
 
@@ -180,60 +195,61 @@
     long server = MemberList.number(id);
     Detachments detachments = dispatcher.targets().detachments();
     if (!detachments.knows(server)) {
-      return unknown(id);
+      return unknownServer(id);
     }
     if (!detachments.hasRoom() && !detachments.isDetached(server)) {
       return Answer.no(
           HttpResponseStatus.CONFLICT, Detachments.MOST + " cache servers are out: attach some");
     }
-    // First here, so that it holds at once whatever becomes of the record.
+    // Detach in this process first, so that it takes effect at once even if recording it fails.
     dispatcher.targets().detach(server);
-    log.line("cache server " + id + " is taken out by operators");
+    log.info("cache server " + id + " was detached by an operator");
     if (folder != null) {
       try {
         folder.detach(server);
       } catch (IOException e) {
-        unrecorded.add(server);
+        unrecordedDetachments.add(server);
         return Answer.no(
             HttpResponseStatus.INTERNAL_SERVER_ERROR,
             "out in this process, not on record for another: " + e.getMessage());
       }
     }
-    return yes(id, false);
+    return success(id, false);
   }
 
   @Override
   public Answer attach(String id) {
     long server = MemberList.number(id);
     if (!dispatcher.targets().detachments().knows(server)) {
-      return unknown(id);
+      return unknownServer(id);
     }
     if (folder != null) {
       try {
         folder.attach(server);
       } catch (IOException e) {
-        // Still on record as out: if it were used here, the next look would take it out again.
+        // It is still on record as detached: if it were attached here, the next synchronization
+        // would detach it again.
         return Answer.no(
             HttpResponseStatus.INTERNAL_SERVER_ERROR, "still out, on record: " + e.getMessage());
       }
     }
-    unrecorded.remove(server);
+    unrecordedDetachments.remove(server);
     dispatcher.targets().attach(server);
-    log.line("cache server " + id + " is put back by operators");
-    return yes(id, true);
+    log.info("cache server " + id + " was attached by an operator");
+    return success(id, true);
   }
 
-  private static Answer unknown(String id) {
+  private static Answer unknownServer(String id) {
     return Answer.no(HttpResponseStatus.NOT_FOUND, "no cache server '" + id + "' was ever listed");
   }
 
-  private static Answer yes(String id, boolean used) {
+  private static Answer success(String id, boolean inUse) {
     return new Answer(
         HttpResponseStatus.OK,
         Json.object(
             json -> {
               json.writeStringField("member", id);
-              json.writeBooleanField("in_use", used);
+              json.writeBooleanField("in_use", inUse);
             }));
   }
 }
--- a/src/main/java/beamspread/node/PoolPlan.java
+++ b/src/main/java/beamspread/node/PoolPlan.java
@@ -9,31 +9,33 @@
 import java.util.Set;
 
 /**
- * The bounds of connections to cache servers: from what the platform tells a node, and from the
- * operators' file where there is one ({@code pool_file} in the configuration, see {@code
- * deploy/pool.json}). Checked whole, so that a file with a fault changes nothing.
+ * Computes the bounds on connections to cache servers from the node's limits and settings, and from
+ * the operators' file if there is one ({@code pool_file} in the configuration, see {@code
+ * deploy/pool.json}). The file is checked as a whole, so that a file with a fault changes nothing.
  */
 final class PoolPlan {
   /**
-   * Descriptors kept for files and pipes of the virtual machine, the selector, discovery, and
-   * sockets that were closed and are not yet released.
+   * Descriptors reserved for files and pipes of the JVM, the selector, discovery, and sockets that
+   * are closed but not yet released.
    */
-  private static final int OWN_DESCRIPTORS = 56;
+  private static final int RESERVED_DESCRIPTORS = 56;
 
-  /** The part of the other descriptors that connections to cache servers may take. */
-  private static final double SERVERS_PART = 0.4;
+  /** Share of the other descriptors that connections to cache servers may use. */
+  private static final double SERVER_SOCKET_SHARE = 0.4;
 
   /**
-   * Connections to one server beyond these while others wait for their end: enough to learn whether
-   * a silent server still runs, few enough that one which takes no more of them is not overrun.
+   * Further connections to one server while others are closing: enough to find out whether a silent
+   * server still runs, few enough not to flood one that accepts no more connections.
    */
-  private static final int LEAVING_CONNECTIONS = 2;
+  private static final int LEAVING_CONNECTIONS_PER_SERVER = 2;
 
-  /** Connections to all servers that may be coming up at a time. */
-  private static final int OPENING = 64;
+  /** Connections to all servers together that may be in the process of connecting. */
+  private static final int MAX_CONNECTING = 64;
 
-  /** How long an answer may be overdue at the least before nothing more waits behind it. */
-  private static final double SUSPECT_SECONDS = 0.4;
+  /**
+   * Minimum time by which a reply must be overdue before no further request is queued behind it.
+   */
+  private static final double MIN_SUSPECT_SECONDS = 0.4;
 
   private static final Set<String> KEYS =
       Set.of(
@@ -57,27 +59,27 @@
     this.file = file;
   }
 
-  /** Descriptors that connections of clients and to servers share. */
+  /** Returns the descriptors that connections of clients and to cache servers share. */
   static int sockets(int descriptors) {
-    return Math.max(32, descriptors - OWN_DESCRIPTORS);
+    return Math.max(32, descriptors - RESERVED_DESCRIPTORS);
   }
 
-  /** Of these, those for cache servers. */
+  /** Returns those of them for cache servers. */
   static int serverSockets(int descriptors) {
-    return (int) (SERVERS_PART * sockets(descriptors));
+    return (int) (SERVER_SOCKET_SHARE * sockets(descriptors));
   }
 
   /**
-   * The bounds for a node.
+   * Returns the bounds for a node.
    *
    * @param file the operators' file, null for none
-   * @throws WireException with all that is wrong with the file
+   * @throws WireException with all faults of the file
    */
   static PoolSettings of(Settings settings, int descriptors, Message file) throws WireException {
-    return new PoolPlan(file).read(settings, descriptors);
+    return new PoolPlan(file).build(settings, descriptors);
   }
 
-  private PoolSettings read(Settings settings, int descriptors) throws WireException {
+  private PoolSettings build(Settings settings, int descriptors) throws WireException {
     if (file != null) {
       for (String name : file.names()) {
         if (!KEYS.contains(name)) {
@@ -86,59 +88,59 @@
       }
     }
     Settings.Limits limits = settings.limits();
-    int most = serverSockets(descriptors);
+    int maxSockets = serverSockets(descriptors);
     double tierPart = PoolSettings.tierPart(settings.instances());
-    int connections = whole("connections", (int) Math.max(1, tierPart), most);
-    // Where a request may not have two attempts out, one that is given up must be off its
-    // connection before the next goes out: nothing may share it.
+    int connections = readInteger("connections", (int) Math.max(1, tierPart), maxSockets);
+    // If a request may not have two attempts in flight, an abandoned attempt must have left its
+    // connection before the next is sent, so nothing may share the connection.
     int depth = limits.parallelAttempts() ? Math.max(1, limits.perConnection()) : 1;
-    // Well before the server closes it, however soon that is.
-    double idle = limits.idleTimeout() / 2;
-    PoolSettings plan =
+    // Well before the server closes it, however short its idle timeout is.
+    double idleSeconds = limits.idleTimeout() / 2;
+    PoolSettings poolSettings =
         new PoolSettings(
             connections,
-            whole("leaving", LEAVING_CONNECTIONS, most),
-            whole("streaming", connections, most),
-            whole("depth", depth, depth),
-            most,
-            whole("opening_each", connections, most),
-            whole("opening_all", OPENING, 1024),
-            whole("spare", 0, most),
-            figure("free_each", tierPart, Math.max(most, tierPart)),
-            nanos("idle_s", idle, limits.idleTimeout()),
-            nanos("age_s", 0, 86_400),
-            nanos("suspect_s", SUSPECT_SECONDS, 60),
-            nanos("cold_s", settings.contract().warmWithin(), 3600));
-    faults.addAll(plan.faults());
+            readInteger("leaving", LEAVING_CONNECTIONS_PER_SERVER, maxSockets),
+            readInteger("streaming", connections, maxSockets),
+            readInteger("depth", depth, depth),
+            maxSockets,
+            readInteger("opening_each", connections, maxSockets),
+            readInteger("opening_all", MAX_CONNECTING, 1024),
+            readInteger("spare", 0, maxSockets),
+            readNumber("free_each", tierPart, Math.max(maxSockets, tierPart)),
+            readNanos("idle_s", idleSeconds, limits.idleTimeout()),
+            readNanos("age_s", 0, 86_400),
+            readNanos("suspect_s", MIN_SUSPECT_SECONDS, 60),
+            readNanos("cold_s", settings.contract().warmWithin(), 3600));
+    faults.addAll(poolSettings.faults());
     if (!faults.isEmpty()) {
       throw new WireException(String.join("; ", faults));
     }
-    return plan;
+    return poolSettings;
   }
 
-  private double figure(String name, double absent, double most) {
-    double value = file == null ? absent : file.number(name, absent);
+  private double readNumber(String name, double defaultValue, double max) {
+    double value = file == null ? defaultValue : file.number(name, defaultValue);
     if (file != null && file.has(name) && Double.isNaN(file.number(name, Double.NaN))) {
-      faults.add(name + " is no number");
-    } else if (value > most) {
-      faults.add(name + " must be " + number(most) + " at most here, is " + number(value));
+      faults.add(name + " is not a number");
+    } else if (value > max) {
+      faults.add(name + " must be " + format(max) + " at most here, is " + format(value));
     }
     return value;
   }
 
-  private static String number(double value) {
+  private static String format(double value) {
     return value == Math.rint(value) ? Long.toString((long) value) : Double.toString(value);
   }
 
-  private int whole(String name, int absent, int most) {
-    double value = figure(name, absent, Math.max(most, absent));
+  private int readInteger(String name, int defaultValue, int max) {
+    double value = readNumber(name, defaultValue, Math.max(max, defaultValue));
     if (value != Math.rint(value)) {
       faults.add(name + " must be a whole number, is " + value);
     }
     return (int) value;
   }
 
-  private long nanos(String name, double absent, double most) {
-    return (long) (figure(name, absent, Math.max(most, absent)) * 1e9);
+  private long readNanos(String name, double defaultSeconds, double maxSeconds) {
+    return (long) (readNumber(name, defaultSeconds, Math.max(maxSeconds, defaultSeconds)) * 1e9);
   }
 }
--- a/src/main/java/beamspread/node/Rehearsal.java
+++ b/src/main/java/beamspread/node/Rehearsal.java
@@ -35,36 +35,37 @@
 import java.util.function.Consumer;
 
 /**
- * Runs a node of its own through some requests before the real one listens. Guards against a start
- * under full load on a part of a core: the first requests cost a hundred times what later ones do,
- * while classes are loaded and code is compiled, and what queues up then takes seconds to go. It
- * touches no network: its peers are sockets in the private temporary folder. It delays the start by
- * its length, which is bounded; where it cannot run, the node starts without it.
+ * Sends requests through a separate node within this process before the real one listens, to warm
+ * up the JVM. Without it, the first requests of a start under full load on a fraction of a core
+ * cost a hundred times as much as later ones, while classes are loaded and code is compiled, and
+ * the queue that builds up takes seconds to clear. It uses no network: its peers are domain sockets
+ * in the private temporary folder. It delays the start by a bounded time; if it can't run, the node
+ * starts without it.
  */
 final class Rehearsal {
   static final int REQUESTS = 300;
 
-  /** Requests out at once, few enough that no connection is held to have too many. */
-  private static final int TOGETHER = 8;
+  /** Requests in flight at a time, few enough that no connection counts as overloaded. */
+  private static final int CONCURRENT_REQUESTS = 8;
 
-  private static final long LONGEST_MILLIS = 2500;
+  private static final long MAX_DURATION_MILLIS = 2500;
 
-  /** Of so many reads one is answered with a value that is passed on as it comes. */
-  private static final int LARGE = 100;
+  /** One of this many reads is answered with a value large enough to be relayed in parts. */
+  private static final int READS_PER_LARGE_VALUE = 100;
 
   private static final String LARGE_VALUE = "v".repeat(70_000);
 
-  /** What operators ask for first. */
-  private static final List<String> CALLS = List.of("/_ready", "/_vars", "/_vars");
+  /** The first calls that operators make. */
+  private static final List<String> MANAGEMENT_PATHS = List.of("/_ready", "/_vars", "/_vars");
 
-  private static final long CALLS_MILLIS = 300;
+  private static final long MANAGEMENT_TIMEOUT_MILLIS = 300;
 
-  private static final int SERVERS = 3;
+  private static final int SERVER_COUNT = 3;
 
   private final NodeConfig config;
   private final Path folder;
-  private final CountDownLatch done = new CountDownLatch(1);
-  private final CountDownLatch called = new CountDownLatch(CALLS.size());
+  private final CountDownLatch requestsDone = new CountDownLatch(1);
+  private final CountDownLatch callsDone = new CountDownLatch(MANAGEMENT_PATHS.size());
   private int sent;
 
   private Rehearsal(NodeConfig config, Path folder) {
@@ -72,24 +73,28 @@
     this.folder = folder;
   }
 
-  /** Rehearses with the settings of this configuration; returns how many requests went through. */
+  /**
+   * Runs the rehearsal with the settings of this configuration; returns how many requests were
+   * sent.
+   */
   static int run(NodeConfig config, Log log) {
     Path folder = null;
     try {
-      String temporary = System.getenv("TMPDIR");
-      Path base = Path.of(temporary == null || temporary.isEmpty() ? "/tmp" : temporary);
-      // A name of its own, not a random one: the library's would load all of the cryptography.
+      String temporaryFolder = System.getenv("TMPDIR");
+      Path base =
+          Path.of(temporaryFolder == null || temporaryFolder.isEmpty() ? "/tmp" : temporaryFolder);
+      // Not a random name: the library method for those would load all of the cryptography classes.
       folder =
           Files.createDirectory(
               base.resolve("r" + ProcessHandle.current().pid() + "-" + System.nanoTime()),
               PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rwx------")));
-      if (!meets(folder.resolve("first"), folder.resolve("first"))) {
-        log.line("no rehearsal: nobody comes to a domain socket here");
+      if (!canConnect(folder.resolve("first"), folder.resolve("first"))) {
+        log.info("no rehearsal: nobody comes to a domain socket here");
         return 0;
       }
       return new Rehearsal(config, folder).run();
     } catch (IOException | RuntimeException | InterruptedException e) {
-      log.failure("no rehearsal", e);
+      log.error("no rehearsal", e);
       return 0;
     } finally {
       delete(folder);
@@ -97,21 +102,22 @@
   }
 
   /**
-   * Whether who connects to one address is met at another. Guards against a platform that binds
-   * domain sockets and leads nobody to them: the rehearsal would wait there for its whole length,
-   * at every start. Neither call waits, since a kernel connects domain sockets at once.
+   * Returns whether a connection to one address arrives at a listener on the other. Some platforms
+   * bind domain sockets but deliver no connections to them; there the rehearsal would wait for its
+   * maximum duration at every start. Neither call blocks, because a kernel connects domain sockets
+   * at once.
    */
-  static boolean meets(Path listens, Path connects) throws IOException {
+  static boolean canConnect(Path listenPath, Path connectPath) throws IOException {
     try (ServerSocketChannel server = ServerSocketChannel.open(StandardProtocolFamily.UNIX);
         SocketChannel client = SocketChannel.open(StandardProtocolFamily.UNIX)) {
-      server.bind(UnixDomainSocketAddress.of(listens));
+      server.bind(UnixDomainSocketAddress.of(listenPath));
       server.configureBlocking(false);
       client.configureBlocking(false);
-      if (!client.connect(UnixDomainSocketAddress.of(connects))) {
+      if (!client.connect(UnixDomainSocketAddress.of(connectPath))) {
         return false;
       }
-      try (SocketChannel met = server.accept()) {
-        return met != null;
+      try (SocketChannel accepted = server.accept()) {
+        return accepted != null;
       }
     } catch (SocketException e) {
       return false;
@@ -132,7 +138,7 @@
       }
       Files.delete(folder);
     } catch (IOException e) {
-      // A few empty files stay in a folder that ends with the process.
+      // A few empty files remain in a folder that ends with the process.
     }
   }
 
@@ -142,12 +148,12 @@
 
   private int run() throws IOException, InterruptedException {
     List<MemberList.Member> members = new ArrayList<>();
-    for (int i = 0; i < SERVERS; i++) {
+    for (int i = 0; i < SERVER_COUNT; i++) {
       ServerEntry entry =
           new ServerEntry(i, config.settings().zone(), "", 0, ServerEntry.State.READY, 1, 0);
       members.add(new MemberList.Member(entry, address("server" + i)));
     }
-    NodeConfig rehearsed =
+    NodeConfig rehearsalConfig =
         new NodeConfig(
             address("node"),
             address("discovery"),
@@ -166,11 +172,11 @@
                 : new NodeConfig.Management(address("mgmt"), null, folder.resolve("shared")),
             null,
             null);
-    Node node = new Node(rehearsed, ClientConnections.Limits.usual(8), Transport.DOMAIN);
+    Node node = new Node(rehearsalConfig, ClientConnections.Limits.usual(8), Transport.DOMAIN);
     try {
       EventLoop loop = node.loop();
       MemoryBudget budget = new MemoryBudget(1 << 16);
-      for (int i = 0; i < SERVERS; i++) {
+      for (int i = 0; i < SERVER_COUNT; i++) {
         listen(
             loop,
             address("server" + i),
@@ -185,13 +191,17 @@
       if (!client.connect(address("node")).await().isSuccess()) {
         return 0;
       }
-      done.await(LONGEST_MILLIS, TimeUnit.MILLISECONDS);
+      requestsDone.await(MAX_DURATION_MILLIS, TimeUnit.MILLISECONDS);
       if (config.management() != null) {
-        // Elsewhere nobody will ever call, and a start is to be short.
-        for (String path : CALLS) {
-          Transport.DOMAIN.client().group(loop).handler(new Call(path)).connect(address("mgmt"));
+        // Without management no such calls ever arrive, and a start should be short.
+        for (String path : MANAGEMENT_PATHS) {
+          Transport.DOMAIN
+              .client()
+              .group(loop)
+              .handler(new ManagementCall(path))
+              .connect(address("mgmt"));
         }
-        called.await(CALLS_MILLIS, TimeUnit.MILLISECONDS);
+        callsDone.await(MANAGEMENT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
       }
     } finally {
       node.close();
@@ -215,11 +225,11 @@
         .await();
   }
 
-  private static void say(ChannelHandlerContext ctx, String text) {
+  private static void write(ChannelHandlerContext ctx, String text) {
     ctx.writeAndFlush(ByteBufUtil.writeAscii(ctx.alloc(), text));
   }
 
-  /** Answers every command at once. */
+  /** A cache server that answers every command at once. */
   private static final class CacheServer extends ChannelInboundHandlerAdapter {
     private int reads;
 
@@ -230,16 +240,19 @@
       if (command.request == null) {
         ctx.close();
       } else if (command.request.write()) {
-        say(ctx, "HD O" + command.request.id() + " c1\r\n");
+        write(ctx, "HD O" + command.request.id() + " c1\r\n");
       } else {
-        String value = reads++ % LARGE == 1 ? LARGE_VALUE : "value";
+        String value = reads++ % READS_PER_LARGE_VALUE == 1 ? LARGE_VALUE : "value";
         String head = "VA " + value.length() + " O" + command.request.id() + " h1\r\n";
-        say(ctx, head + value + "\r\n");
+        write(ctx, head + value + "\r\n");
       }
     }
   }
 
-  /** Answers the first bytes of a call with a change that changes nothing, and keeps it open. */
+  /**
+   * A discovery server that answers the first bytes of a call with a change of no servers, and
+   * keeps the call open.
+   */
   private static final class Discovery extends ChannelInboundHandlerAdapter {
     private boolean called;
 
@@ -249,7 +262,7 @@
       if (!called) {
         called = true;
         String change = "{\"version\":2,\"full\":false,\"servers\":[]}\n";
-        say(
+        write(
             ctx,
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                 + Integer.toHexString(change.length())
@@ -261,16 +274,16 @@
   }
 
   /** One call of an operator. */
-  private final class Call extends ChannelInboundHandlerAdapter {
+  private final class ManagementCall extends ChannelInboundHandlerAdapter {
     private final String path;
 
-    Call(String path) {
+    ManagementCall(String path) {
       this.path = path;
     }
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-      say(ctx, "GET " + path + " HTTP/1.1\r\nHost: localhost\r\n\r\n");
+      write(ctx, "GET " + path + " HTTP/1.1\r\nHost: localhost\r\n\r\n");
     }
 
     @Override
@@ -280,11 +293,11 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-      called.countDown();
+      callsDone.countDown();
     }
   }
 
-  /** Sends one request for each answer. */
+  /** A client that sends the next request after each answer. */
   private final class Client extends ChannelInboundHandlerAdapter {
     @Override
     public void handlerAdded(ChannelHandlerContext ctx) {
@@ -293,8 +306,8 @@
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-      for (int i = 0; i < TOGETHER; i++) {
-        next(ctx);
+      for (int i = 0; i < CONCURRENT_REQUESTS; i++) {
+        sendNext(ctx);
       }
     }
 
@@ -313,20 +326,20 @@
         }
       }
       if (sent < REQUESTS) {
-        next(ctx);
+        sendNext(ctx);
       } else {
-        done.countDown();
+        requestsDone.countDown();
       }
     }
 
-    private void next(ChannelHandlerContext ctx) {
+    private void sendNext(ChannelHandlerContext ctx) {
       List<Settings.ServiceClass> services = config.settings().services();
       Settings.ServiceClass service = services.get(sent % services.size());
       String flags =
           " O" + Long.toHexString((1L << 60) + sent) + " Pc=" + service.name() + ",d=1000";
       String key = " key" + sent % 97;
       sent++;
-      say(
+      write(
           ctx,
           service.effect() == Settings.Effect.SAFE
               ? "mg" + key + " v" + flags + "\r\n"
@@ -335,11 +348,11 @@
   }
 
   /**
-   * The settings of a small tier, for a rehearsal outside any deployment.
+   * Returns the configuration of a node in a small tier, for a rehearsal outside any deployment.
    *
    * @param mgmt whether operators can call
    */
-  static NodeConfig sample(boolean mgmt) throws WireException {
+  static NodeConfig sampleConfig(boolean mgmt) throws WireException {
     return NodeConfig.parse(
         Message.parse(
             (mgmt ? "{\"mgmt\":\"127.0.0.1:0\"," : "{")
--- a/src/main/java/beamspread/node/RequestAttempt.java
+++ b/src/main/java/beamspread/node/RequestAttempt.java
@@ -4,22 +4,25 @@
 import beamspread.node.wire.MetaCommand;
 import io.netty.util.concurrent.Future;
 
-/** One send of a request, with what the module knows it by. */
+/** One attempt of a request, with the number by which the decision module knows it. */
 final class RequestAttempt extends Attempt {
   final OpenRequest request;
   final int number;
 
-  /** For {@code repeatableUntil}: nothing it does can be done twice by it. */
-  static final long ANY_TIME = Long.MIN_VALUE;
+  /**
+   * Value of {@code repeatableUntil} for an attempt that can't cause a second effect at any time.
+   */
+  static final long NO_TIME_LIMIT = Long.MIN_VALUE;
 
   private final long repeatableUntil;
   Future<?> timeout;
 
-  /** Whether it is not proven that no server has carried it out. */
-  boolean mayHaveRun = true;
+  /** Whether a server may have carried it out; false once it is proven that none has. */
+  boolean mayHaveExecuted = true;
 
   /**
-   * @param repeatableUntil when it may be written at the latest, {@link #ANY_TIME} for no such time
+   * @param repeatableUntil the latest time at which it may be written, {@link #NO_TIME_LIMIT} for
+   *     no limit
    */
   RequestAttempt(
       OpenRequest request,
@@ -36,7 +39,7 @@
 
   @Override
   protected boolean tooLate(long now) {
-    return repeatableUntil != ANY_TIME && now - repeatableUntil >= 0;
+    return repeatableUntil != NO_TIME_LIMIT && now - repeatableUntil >= 0;
   }
 
   @Override
--- a/src/main/java/beamspread/node/RequestIntake.java
+++ b/src/main/java/beamspread/node/RequestIntake.java
@@ -15,48 +15,54 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Takes the requests of clients in: how much of its time each has left, whether it may begin, and
- * when. All of it runs on the event loop.
+ * Accepts the requests of clients: determines how much time each has left, whether it may begin,
+ * and when. Runs on the event loop only.
  *
- * <p>A request that is read after the event loop has stalled may have lain in its socket for as
- * long. Its time is counted from the last look at the sockets, the bound that is known, and it
- * begins behind all that became due in the stall. What is too old, or more than a process that
- * stalls should have in progress, is refused at once: it was never sent on.
+ * <p>A request that is read after the event loop has stalled may have waited in its socket for the
+ * whole stall. Its time is therefore counted from the last time the sockets were read, which is the
+ * known bound, and it begins after all timers that became due during the stall. Requests that are
+ * too old, or that exceed the concurrency limit of a process that stalls, are refused at once,
+ * before any attempt is sent.
  */
 final class RequestIntake implements Requests {
-  /** With less time than this no attempt begins after a stall: hardly an answer comes so soon. */
-  private static final long LEAST_WAIT_NANOS = 50_000_000L;
+  /**
+   * With less time left than this no attempt begins after a stall: an answer is unlikely to arrive
+   * in time.
+   */
+  private static final long MIN_WAIT_AFTER_STALL_NANOS = 50_000_000L;
 
-  private static final String BUSY = "SERVER_ERROR busy";
+  private static final String BUSY_ANSWER = "SERVER_ERROR busy";
 
   private final EventLoop loop;
-  private final OpenRequests open;
+  private final OpenRequests openRequests;
   private final DecisionEvents events;
   private final Balancer balancer;
   private final RequestMetrics metrics;
   private final Log log;
   private final long longestDeadlineNanos;
-  private final DeadlineReserve reserve = new DeadlineReserve();
-  private final ConcurrencyLimit limit = new ConcurrencyLimit();
+  private final DeadlineReserve deadlineReserve = new DeadlineReserve();
+  private final ConcurrencyLimit concurrencyLimit = new ConcurrencyLimit();
 
-  /** Requests' keys; null where they stay as they are. */
-  private VariantTraffic variants;
+  /** Rewrites keys to canonical ones; null if keys are left as they are. */
+  private VariantTraffic variantTraffic;
 
-  /** When this process gives its last answers, on the clock of {@link System#nanoTime()}. */
-  private long endsAt;
+  /**
+   * When this process must have answered all requests, on the clock of {@link System#nanoTime()}.
+   */
+  private long answerAllBy;
 
-  private boolean ends;
+  private boolean ending;
 
   RequestIntake(
       EventLoop loop,
-      OpenRequests open,
+      OpenRequests openRequests,
       DecisionEvents events,
       Balancer balancer,
       RequestMetrics metrics,
       Log log,
       long longestDeadlineNanos) {
     this.loop = loop;
-    this.open = open;
+    this.openRequests = openRequests;
     this.events = events;
     this.balancer = balancer;
     this.metrics = metrics;
@@ -64,22 +70,22 @@
     this.longestDeadlineNanos = longestDeadlineNanos;
   }
 
-  /** Keys are replaced by canonical ones from now on. */
-  void use(VariantTraffic traffic) {
-    variants = traffic;
+  /** Replaces keys by canonical ones from now on. */
+  void useVariants(VariantTraffic traffic) {
+    variantTraffic = traffic;
   }
 
-  /** The event loop has stalled for so long until now. */
-  void stalled(long nanos) {
+  /** Records that the event loop has stalled for the given time until now. */
+  void onStall(long nanos) {
     long now = System.nanoTime();
-    reserve.stalled(now, nanos);
-    limit.stalled(now, nanos, open.unanswered());
+    deadlineReserve.stalled(now, nanos);
+    concurrencyLimit.stalled(now, nanos, openRequests.unanswered());
   }
 
-  /** What is taken from now on has to be answered by this time, whatever its deadline. */
-  void endBy(long at) {
-    endsAt = at;
-    ends = true;
+  /** Requires every request from now on to be answered by this time, whatever its deadline. */
+  void answerAllBy(long deadline) {
+    answerAllBy = deadline;
+    ending = true;
   }
 
   @Override
@@ -88,116 +94,120 @@
     if (unreadNanos == 0) {
       return begin(command, slot, now, now);
     }
-    Deferred deferred = new Deferred(command, slot, now - unreadNanos);
-    // Timers run in the order of their times: this one behind all that became due before.
+    DeferredRequest deferred = new DeferredRequest(command, slot, now - unreadNanos);
+    // Timers run in order of their due times: this one follows all that became due earlier.
     loop.schedule(deferred, 0, TimeUnit.NANOSECONDS);
     return deferred;
   }
 
-  /** A request that begins once all that is overdue has been dealt with. */
-  private final class Deferred implements Taken, Runnable {
+  /** A request that begins after all overdue timers have run. */
+  private final class DeferredRequest implements Taken, Runnable {
     private final MetaCommand command;
     private final ClientHandler.Slot slot;
-    private final long sentAt;
-    private Taken begun;
+    private final long earliestSentAt;
+    private Taken accepted;
     private boolean clientGone;
 
-    Deferred(MetaCommand command, ClientHandler.Slot slot, long sentAt) {
+    DeferredRequest(MetaCommand command, ClientHandler.Slot slot, long earliestSentAt) {
       this.command = command;
       this.slot = slot;
-      this.sentAt = sentAt;
+      this.earliestSentAt = earliestSentAt;
     }
 
     @Override
     public void run() {
       if (clientGone) {
         command.release();
-        metrics.clientGone();
+        metrics.clientDisconnected();
       } else {
-        begun = begin(command, slot, sentAt, System.nanoTime());
+        accepted = begin(command, slot, earliestSentAt, System.nanoTime());
       }
     }
 
     @Override
     public void clientGone() {
       clientGone = true;
-      if (begun != null) {
-        begun.clientGone();
+      if (accepted != null) {
+        accepted.clientGone();
       }
     }
   }
 
   /**
-   * Lets a request begin, or refuses it.
+   * Begins a request, or refuses it.
    *
-   * @param sentAt the earliest time at which its client can have sent it
+   * @param earliestSentAt the earliest time at which the client can have sent it
    * @return null if it was answered at once
    */
-  private Taken begin(MetaCommand command, ClientHandler.Slot slot, long sentAt, long now) {
-    if (open.get(command.request.id()) != null) {
+  private Taken begin(MetaCommand command, ClientHandler.Slot slot, long earliestSentAt, long now) {
+    if (openRequests.get(command.request.id()) != null) {
       command.release();
       slot.line("CLIENT_ERROR id in use");
       return null;
     }
-    long wait = remaining(command.request, now, sentAt);
-    boolean tooOld = now - sentAt >= LoopWatch.PAUSE_NANOS && wait <= LEAST_WAIT_NANOS;
-    if (tooOld || !limit.admits(now, open.unanswered())) {
+    long waitNanos = remainingNanos(command.request, now, earliestSentAt);
+    boolean tooOld =
+        now - earliestSentAt >= LoopWatch.PAUSE_NANOS && waitNanos <= MIN_WAIT_AFTER_STALL_NANOS;
+    if (tooOld || !concurrencyLimit.admits(now, openRequests.unanswered())) {
       metrics.refusedEarly(command.request);
       command.release();
-      slot.line(BUSY);
+      slot.line(BUSY_ANSWER);
       return null;
     }
-    wait -= reserve.nanos(now, wait);
-    VariantKeys.Rewrite rewrite = variants == null ? null : variants.asks(command);
-    boolean other = rewrite != null && !rewrite.key().equals(command.request.key());
-    MetaCommand asked = other ? command.about(rewrite.key()) : command;
-    OpenRequest request = new OpenRequest(asked, slot, sentAt, now + wait);
-    request.rewrite = rewrite;
-    return begin(request, wait);
+    waitNanos -= deadlineReserve.nanos(now, waitNanos);
+    VariantKeys.Rewrite rewrite = variantTraffic == null ? null : variantTraffic.asks(command);
+    boolean keyReplaced = rewrite != null && !rewrite.key().equals(command.request.key());
+    MetaCommand forwarded = keyReplaced ? command.about(rewrite.key()) : command;
+    OpenRequest request = new OpenRequest(forwarded, slot, earliestSentAt, now + waitNanos);
+    request.keyRewrite = rewrite;
+    return begin(request, waitNanos);
   }
 
-  /** How long the client of a request still waits; no client waits longer than the settings say. */
-  private long remaining(Request request, long now, long sentAt) {
-    long wait = Math.min(longestDeadlineNanos, (long) (request.budget() * 1e9));
-    wait -= now - sentAt;
-    if (ends) {
-      wait = Math.min(wait, endsAt - now);
+  /**
+   * Returns the nanoseconds until the client's deadline, at most the longest deadline of the
+   * settings.
+   */
+  private long remainingNanos(Request request, long now, long earliestSentAt) {
+    long waitNanos = Math.min(longestDeadlineNanos, (long) (request.budget() * 1e9));
+    waitNanos -= now - earliestSentAt;
+    if (ending) {
+      waitNanos = Math.min(waitNanos, answerAllBy - now);
     }
-    return Math.max(0, wait);
+    return Math.max(0, waitNanos);
   }
 
-  private Taken begin(OpenRequest request, long wait) {
-    Request whole = request.command.request;
-    long asked = (long) (whole.budget() * 1e9);
-    Request known = wait < asked ? whole.within(wait / 1e9) : whole;
-    open.add(request);
-    metrics.taken(whole);
-    events.tell(at -> tellModule(at, request, known));
+  private Taken begin(OpenRequest request, long waitNanos) {
+    Request received = request.command.request;
+    long budgetNanos = (long) (received.budget() * 1e9);
+    Request adjusted = waitNanos < budgetNanos ? received.within(waitNanos / 1e9) : received;
+    openRequests.add(request);
+    metrics.received(received);
+    events.post(at -> passToModule(at, request, adjusted));
     return () -> clientGone(request);
   }
 
-  private void tellModule(double at, OpenRequest request, Request known) {
+  private void passToModule(double now, OpenRequest request, Request adjusted) {
     try {
-      balancer.request(at, known);
+      balancer.request(now, adjusted);
     } catch (RuntimeException | VirtualMachineError e) {
       report("decision module", e);
-      open.fail(request);
+      openRequests.fail(request);
     }
   }
 
-  /** The client has closed its connection. */
+  /** Handles the close of the client's connection. */
   void clientGone(OpenRequest request) {
     if (request.ended) {
       return;
     }
-    open.over(request);
-    metrics.clientGone();
-    events.tell(
+    openRequests.markEnded(request);
+    metrics.clientDisconnected();
+    events.post(
         now -> {
           try {
             balancer.clientGone(now, request.id());
           } finally {
-            open.settle(request);
+            openRequests.removeIfComplete(request);
           }
         });
   }
@@ -209,6 +219,6 @@
 
   @Override
   public void report(String where, Throwable cause) {
-    log.failure(where, cause);
+    log.error(where, cause);
   }
 }
--- a/src/main/java/beamspread/node/RequestMetrics.java
+++ b/src/main/java/beamspread/node/RequestMetrics.java
@@ -10,42 +10,41 @@
 import java.util.Map;
 
 /**
- * Counts what becomes of requests: always since the start, and in each second where somebody asked
- * for a tally.
+ * Counts the results of requests: in total since the start, and per second if a tally is requested.
  */
 final class RequestMetrics {
   private final Figures figures;
 
-  /** The time in which an answer is wanted, in seconds, by class. */
-  private final Map<String, Double> aims = new HashMap<>();
+  /** The aim of each class, in seconds. */
+  private final Map<String, Double> aimSecondsByClass = new HashMap<>();
 
-  /** Null where nobody asked for it. */
+  /** Null unless a tally is requested. */
   private Tally tally;
 
   RequestMetrics(List<Settings.ServiceClass> classes) {
     figures = new Figures(classes.stream().map(Settings.ServiceClass::name).toList());
-    classes.forEach(type -> aims.put(type.name(), type.aim()));
+    classes.forEach(serviceClass -> aimSecondsByClass.put(serviceClass.name(), serviceClass.aim()));
   }
 
   Figures figures() {
     return figures;
   }
 
-  /** Counts in each second from now on; returns what gives its lines. */
-  Tally beginTally() {
+  /** Starts to count per second; returns the tally that produces the log lines. */
+  Tally startTally() {
     tally = new Tally();
     return tally;
   }
 
-  void taken(Request request) {
+  void received(Request request) {
     if (tally != null) {
       tally.taken(request.write());
     }
   }
 
-  void attemptBegins(RequestAttempt attempt) {
+  void attemptStarted(RequestAttempt attempt) {
     if (tally != null) {
-      tally.sent(attempt.number == 0, attempt.request.age());
+      tally.sent(attempt.number == 0, attempt.request.ageSeconds());
     }
   }
 
@@ -59,26 +58,26 @@
     }
   }
 
-  /** A request is served: its answer begins to go to the client. */
-  void served(OpenRequest open) {
-    Request request = open.command.request;
+  /** Records that a request is served: its answer begins to be written to the client. */
+  void served(OpenRequest openRequest) {
+    Request request = openRequest.command.request;
     if (tally != null) {
-      double aim = aims.getOrDefault(request.serviceClass(), Double.POSITIVE_INFINITY);
-      tally.served(request.write(), open.age() > aim);
+      double aim = aimSecondsByClass.getOrDefault(request.serviceClass(), Double.POSITIVE_INFINITY);
+      tally.served(request.write(), openRequest.ageSeconds() > aim);
     }
   }
 
-  /** A request ends unserved. */
-  void notServed(OpenRequest open, Figures.Reply reply) {
+  /** Records that a request ends without being served. */
+  void notServed(OpenRequest openRequest, Figures.Reply reply) {
     if (tally != null && reply == Figures.Reply.OVERLOAD) {
-      tally.refused(open.attempts.isEmpty());
+      tally.refused(openRequest.attempts.isEmpty());
     } else if (tally != null) {
       tally.failed();
     }
-    replied(open.command.request.serviceClass(), reply);
+    replied(openRequest.command.request.serviceClass(), reply);
   }
 
-  /** A request is refused before the decision module hears of it. */
+  /** Records a request that is refused before it reaches the decision module. */
   void refusedEarly(Request request) {
     if (tally != null) {
       tally.refused(true);
@@ -90,7 +89,7 @@
     figures.replied(serviceClass, reply);
   }
 
-  void clientGone() {
+  void clientDisconnected() {
     if (tally != null) {
       tally.gone();
     }
--- a/src/main/java/beamspread/node/StatusSocket.java
+++ b/src/main/java/beamspread/node/StatusSocket.java
@@ -17,8 +17,8 @@
 import java.util.function.Supplier;
 
 /**
- * Tells the node's status to whoever connects to a Unix domain socket: one line, then the end. Who
- * may ask is a matter of the file's rights; nothing that is sent here is read.
+ * Writes the node's status to each connection of a Unix domain socket: one line, then the
+ * connection closes. File permissions decide who may connect; input is ignored.
  */
 final class StatusSocket {
   private final Path file;
@@ -29,27 +29,27 @@
     this.channel = channel;
   }
 
-  /** Listens on this file; what a killed predecessor left of it gives way. */
+  /** Listens on this file; replaces a socket file that a killed predecessor has left. */
   static StatusSocket open(EventLoop loop, String name, Supplier<NodeStatus> status)
       throws IOException, InterruptedException {
     Path file = Path.of(name);
-    clear(file);
+    removeStaleSocket(file);
     Channel listener =
         Listener.open(
             Transport.DOMAIN.server().group(loop),
             UnixDomainSocketAddress.of(file),
             "status socket " + name,
-            connection -> connection.pipeline().addLast(new Teller(status)));
+            connection -> connection.pipeline().addLast(new StatusWriter(status)));
     Files.setPosixFilePermissions(file, PosixFilePermissions.fromString("rw-------"));
     return new StatusSocket(file, listener);
   }
 
-  private static void clear(Path file) throws IOException {
+  private static void removeStaleSocket(Path file) throws IOException {
     if (!Files.exists(file)) {
       return;
     }
     if (Files.isRegularFile(file) || Files.isDirectory(file)) {
-      throw new IOException("status socket " + file + ": a file of another kind is there");
+      throw new IOException("status socket " + file + ": the file exists and is not a socket");
     }
     try (SocketChannel probe = SocketChannel.open(StandardProtocolFamily.UNIX)) {
       probe.connect(UnixDomainSocketAddress.of(file));
@@ -65,14 +65,14 @@
     try {
       Files.deleteIfExists(file);
     } catch (IOException e) {
-      // The next start clears it away.
+      // The next start removes it.
     }
   }
 
-  private static final class Teller extends ChannelInboundHandlerAdapter {
+  private static final class StatusWriter extends ChannelInboundHandlerAdapter {
     private final Supplier<NodeStatus> status;
 
-    Teller(Supplier<NodeStatus> status) {
+    StatusWriter(Supplier<NodeStatus> status) {
       this.status = status;
     }
 
--- a/src/main/java/beamspread/node/Targets.java
+++ b/src/main/java/beamspread/node/Targets.java
@@ -14,55 +14,58 @@
 import java.util.function.Consumer;
 
 /**
- * The cache servers that this node knows: what the list says, and what operators say over it. Tells
- * the decision module and the pools, which hold no connection to a server that is taken out: an
- * attempt that waits for one could be written after the grace.
+ * The cache servers that this node knows: the list of discovery, overlaid with the detachments of
+ * operators. Informs the decision module and the pools. The pools hold no connection to a detached
+ * server: an attempt that waits for one could be written after the drain grace.
  */
 final class Targets {
   private final ServerPools pools;
   private final Clock clock;
-  private final Consumer<MembershipUpdate> module;
+  private final Consumer<MembershipUpdate> updateListener;
   private final Detachments detachments = new Detachments();
   private final Map<Long, MemberList.Member> listed = new HashMap<>();
 
-  Targets(ServerPools pools, Clock clock, Consumer<MembershipUpdate> module) {
+  Targets(ServerPools pools, Clock clock, Consumer<MembershipUpdate> updateListener) {
     this.pools = pools;
     this.clock = clock;
-    this.module = module;
+    this.updateListener = updateListener;
   }
 
-  /** Takes in the list, or changes of it. */
-  void list(MemberList list, MembershipUpdate.Kind kind) {
-    Set<Long> gone = list.full() ? new HashSet<>(listed.keySet()) : new HashSet<>();
+  /** Applies the list, or changes of it. */
+  void applyList(MemberList list, MembershipUpdate.Kind kind) {
+    Set<Long> removed = list.full() ? new HashSet<>(listed.keySet()) : new HashSet<>();
     List<ServerEntry> entries = new ArrayList<>(list.members().size());
     for (MemberList.Member member : list.members()) {
       long server = member.entry().id();
       if (member.entry().state() == ServerEntry.State.GONE) {
-        gone.add(server);
+        removed.add(server);
         entries.add(member.entry());
       } else if (member.address() != null || listed.containsKey(server)) {
-        gone.remove(server);
-        // Where its address can't be read, it is still where it was.
-        listed.merge(server, member, Targets::where);
+        removed.remove(server);
+        // If its address can't be read, the previous one stays in use.
+        listed.merge(server, member, Targets::withKnownAddress);
         entries.add(member.entry());
       }
     }
-    gone.forEach(listed::remove);
-    MembershipUpdate told =
+    removed.forEach(listed::remove);
+    MembershipUpdate update =
         detachments.overlay(new MembershipUpdate(kind, list.version(), entries));
-    told.entries().forEach(this::connect);
-    module.accept(told);
-    // Once the module knows, so that what waited there is not sent there again.
-    gone.forEach(pools::left);
-    told.entries().forEach(this::disconnect);
+    update.entries().forEach(this::addToPools);
+    updateListener.accept(update);
+    // After the module is informed, so that withdrawn attempts are not sent there again.
+    removed.forEach(pools::left);
+    update.entries().forEach(this::withdrawFromPools);
   }
 
-  private static MemberList.Member where(MemberList.Member before, MemberList.Member now) {
-    return now.address() != null ? now : new MemberList.Member(now.entry(), before.address());
+  private static MemberList.Member withKnownAddress(
+      MemberList.Member previous, MemberList.Member current) {
+    return current.address() != null
+        ? current
+        : new MemberList.Member(current.entry(), previous.address());
   }
 
-  /** Gives the pools a server as the module sees it. */
-  private void connect(ServerEntry entry) {
+  /** Passes a server to the pools in the state that the module sees. */
+  private void addToPools(ServerEntry entry) {
     if (entry.state() == ServerEntry.State.GONE || detachments.isDetached(entry.id())) {
       return;
     }
@@ -73,8 +76,8 @@
     pools.listed(entry.id(), listed.get(entry.id()).address(), started);
   }
 
-  /** Takes back what waits for a connection to a server that gets nothing new. */
-  private void disconnect(ServerEntry entry) {
+  /** Withdraws attempts that wait for a connection to a server that accepts no new requests. */
+  private void withdrawFromPools(ServerEntry entry) {
     if (detachments.isDetached(entry.id())) {
       pools.left(entry.id());
     } else if (entry.state() == ServerEntry.State.DRAINING) {
@@ -82,33 +85,33 @@
     }
   }
 
-  /** What is taken out and what the list names. */
+  /** Returns the detached and the listed servers. */
   Detachments detachments() {
     return detachments;
   }
 
-  /** How many servers the list names in each state. */
-  Map<ServerEntry.State, Integer> states() {
-    Map<ServerEntry.State, Integer> states = new HashMap<>();
-    listed.values().forEach(member -> states.merge(member.entry().state(), 1, Integer::sum));
-    return states;
+  /** Returns how many servers the list names in each state. */
+  Map<ServerEntry.State, Integer> countsByState() {
+    Map<ServerEntry.State, Integer> counts = new HashMap<>();
+    listed.values().forEach(member -> counts.merge(member.entry().state(), 1, Integer::sum));
+    return counts;
   }
 
   /** Takes a server out of use. */
   void detach(long server) {
-    byHand(detachments.detach(server));
+    applyOperatorChange(detachments.detach(server));
   }
 
   /** Puts a server back into use. */
   void attach(long server) {
-    byHand(detachments.attach(clock.now(), server));
+    applyOperatorChange(detachments.attach(clock.now(), server));
   }
 
-  private void byHand(ServerEntry line) {
-    if (line != null) {
-      connect(line);
-      module.accept(new MembershipUpdate(MembershipUpdate.Kind.BY_HAND, 0, List.of(line)));
-      disconnect(line);
+  private void applyOperatorChange(ServerEntry entry) {
+    if (entry != null) {
+      addToPools(entry);
+      updateListener.accept(new MembershipUpdate(MembershipUpdate.Kind.BY_HAND, 0, List.of(entry)));
+      withdrawFromPools(entry);
     }
   }
 }
--- a/src/main/java/beamspread/node/Transport.java
+++ b/src/main/java/beamspread/node/Transport.java
@@ -10,9 +10,9 @@
 import io.netty.channel.socket.nio.NioSocketChannel;
 import java.net.StandardSocketOptions;
 
-/** What a node's sockets are made of. */
+/** The kind of sockets that a node uses. */
 enum Transport {
-  /** What it serves on. */
+  /** TCP, for serving. */
   TCP {
     @Override
     Bootstrap client() {
@@ -30,7 +30,7 @@
     }
   },
 
-  /** What it rehearses on: sockets of its own that nothing else can reach. */
+  /** Unix domain sockets, for the rehearsal: nothing else can reach them. */
   DOMAIN {
     @Override
     Bootstrap client() {
@@ -52,7 +52,7 @@
 
   abstract ServerBootstrap server();
 
-  /** Listening sockets whose address a second process of the same user may listen on as well. */
+  /** Returns a bootstrap whose address a second process of the same user may also listen on. */
   ServerBootstrap sharedServer() {
     return server().option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), Boolean.TRUE);
   }
--- a/src/main/java/beamspread/node/WakeTimers.java
+++ b/src/main/java/beamspread/node/WakeTimers.java
@@ -8,20 +8,20 @@
 import java.util.function.LongConsumer;
 
 /**
- * The decision module's timers, on the event loop. A timer that is no longer wanted is taken off:
- * it would wake the loop for nothing, and most requests are over long before their timers are due.
+ * The decision module's timers, on the event loop. A timer that is no longer needed is removed: it
+ * would wake the event loop for nothing, and most requests end long before their timers are due.
  */
 final class WakeTimers {
   private final EventLoop loop;
-  private final LongConsumer due;
+  private final LongConsumer onDue;
   private final Map<Long, ScheduledFuture<?>> byToken = new HashMap<>();
 
   /**
-   * @param due is told the token of each timer that is due
+   * @param onDue receives the token of each timer that is due
    */
-  WakeTimers(EventLoop loop, LongConsumer due) {
+  WakeTimers(EventLoop loop, LongConsumer onDue) {
     this.loop = loop;
-    this.due = due;
+    this.onDue = onDue;
   }
 
   /**
@@ -36,10 +36,10 @@
 
   private void fire(long token) {
     byToken.remove(token);
-    due.accept(token);
+    onDue.accept(token);
   }
 
-  /** Takes off the timer that was set last under this token, if it is not due yet. */
+  /** Cancels the timer that was set last under this token, if it is not due yet. */
   void cancel(long token) {
     ScheduledFuture<?> timer = byToken.remove(token);
     if (timer != null) {
--- a/src/main/java/beamspread/scale/HollowHost.java
+++ b/src/main/java/beamspread/scale/HollowHost.java
@@ -85,7 +85,7 @@
     while (!lacking.isEmpty() && System.nanoTime() - until < 0) {
       List<Node> still = new ArrayList<>();
       for (Node node : lacking) {
-        if (node.listed().get() == servers) {
+        if (node.listedServers().get() == servers) {
           seen.append(System.nanoTime()).append(' ');
         } else {
           still.add(node);
--- a/src/main/java/beamspread/standin/StandInNode.java
+++ b/src/main/java/beamspread/standin/StandInNode.java
@@ -1,6 +1,6 @@
 package beamspread.standin;
 
-import beamspread.node.Hangup;
+import beamspread.node.SighupHandler;
 import java.io.IOException;
 import java.net.StandardProtocolFamily;
 import java.net.UnixDomainSocketAddress;
@@ -70,7 +70,7 @@
 
   private void run(Path socket) throws Exception {
     read("start");
-    Hangup.handle(
+    SighupHandler.register(
         () -> {
           if (!faults.contains("ignore-hup")) {
             pause(number("slow-hup"));
--- a/src/test/java/beamspread/node/BadClientsTest.java
+++ b/src/test/java/beamspread/node/BadClientsTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Clients that send nonsense, half of it, too much or nothing. */
+/** Clients that send invalid, incomplete or excessive input, or none at all. */
 @ExtendWith(LeakCheck.class)
 class BadClientsTest {
   private static final long SHORT = 200_000_000L;
@@ -72,7 +72,7 @@
         assertEquals("VA 5 O" + i, clients.get(i).read("" + i).line());
         clients.get(i).line();
       }
-      // The one that has waited longest goes first, long before any is idle for too long.
+      // The connection that has been idle longest is closed first, well before its idle timeout.
       assertNull(clients.get(0).line());
     } finally {
       for (Peers.Client client : clients) {
@@ -96,7 +96,7 @@
           client.send("x".repeat(100_000));
         }
       } catch (java.io.IOException e) {
-        // Cut off, as it should be.
+        // The node has closed the connection, as expected.
       }
       assertTrue(written < 1000);
     }
@@ -158,7 +158,7 @@
         Peers.Rig rig = new Peers.Rig(limits(1, LONG, LONG), server);
         Peers.Client first = rig.client()) {
       first.read("1");
-      Peers.await("the request goes out", () -> server.lines.size() == 1);
+      Peers.await("the request is sent", () -> server.lines.size() == 1);
       try (Peers.Client second = rig.client()) {
         assertEquals("SERVER_ERROR busy", second.line());
         assertNull(second.line());
--- a/src/test/java/beamspread/node/Calls.java
+++ b/src/test/java/beamspread/node/Calls.java
@@ -7,12 +7,12 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** An operator who calls a node. */
+/** A client for the operators' calls of a node. */
 final class Calls {
   /**
-   * What came back.
+   * An answer to a call.
    *
-   * @param status 0 where the connection ended without an answer
+   * @param status 0 if the connection ended without an answer
    */
   record Answer(int status, Message body) {}
 
@@ -22,7 +22,7 @@
     this.address = address;
   }
 
-  /** Sends this, byte for byte, and reads to the end. */
+  /** Sends this text as it is, and reads to the end of the connection. */
   Answer raw(String call) throws IOException, WireException {
     try (Socket socket = new Socket()) {
       socket.connect(address, 20_000);
--- a/src/test/java/beamspread/node/ClosesTest.java
+++ b/src/test/java/beamspread/node/ClosesTest.java
@@ -88,7 +88,7 @@
       for (int i = 0; i < 5; i++) {
         fresh.add(rig.client());
       }
-      Peers.await("all are accepted", () -> rig.node.clients() == 5);
+      Peers.await("all are accepted", () -> rig.node.clientCount() == 5);
       try (Hold hold = new Hold(rig.node, SHORT)) {
         for (int i = 0; i < 5; i++) {
           fresh.get(i).read("b" + i);
@@ -111,7 +111,7 @@
         Peers.Rig rig = new Peers.Rig(limits(9, 2 * SHORT, LONG), server);
         Peers.Client client = rig.client()) {
       client.send("mg key-1 v O1 Pc=re");
-      Peers.await("it has connected", () -> rig.node.clients() == 1);
+      Peers.await("it has connected", () -> rig.node.clientCount() == 1);
       // Its first half is read by then; if not, there is nothing to guard against.
       Thread.sleep(50);
       try (Hold hold = new Hold(rig.node, 5 * SHORT)) {
@@ -163,7 +163,7 @@
       Peers.await("both requests go out", () -> server.lines.size() == 2);
       Thread drain = new Thread(rig.node::drain);
       drain.start();
-      Peers.await("the drain has begun", () -> rig.node.drainsClients());
+      Peers.await("the drain has begun", () -> rig.node.isDrainingClients());
       client.send("mg key-3 v O3 Pc=read,d=400\r\n");
       late.send("mg key-4 v O4 Pc=read,d=60000\r\n");
       // First: the answers let the next request out at once.
--- a/src/test/java/beamspread/node/ConfigWatchTest.java
+++ b/src/test/java/beamspread/node/ConfigWatchTest.java
@@ -18,25 +18,25 @@
     AtomicInteger changes = new AtomicInteger();
     Files.writeString(file, "first");
     ConfigWatch watch = new ConfigWatch(file, changes::incrementAndGet);
-    watch.look();
-    watch.look();
+    watch.poll();
+    watch.poll();
     assertThat(changes).hasValue(0);
     Files.writeString(file, "half");
-    watch.look();
+    watch.poll();
     Files.writeString(file, " and half", StandardOpenOption.APPEND);
-    watch.look();
+    watch.poll();
     assertThat(changes).hasValue(0);
-    watch.look();
-    watch.look();
+    watch.poll();
+    watch.poll();
     assertThat(changes).hasValue(1);
     Files.delete(file);
-    watch.look();
-    watch.look();
+    watch.poll();
+    watch.poll();
     assertThat(changes).hasValue(1);
     Files.writeString(folder.resolve("next"), "half and half");
     Files.move(folder.resolve("next"), file);
-    watch.look();
-    watch.look();
+    watch.poll();
+    watch.poll();
     assertThat(changes).hasValue(2);
   }
 }
--- a/src/test/java/beamspread/node/EndingsTest.java
+++ b/src/test/java/beamspread/node/EndingsTest.java
@@ -191,7 +191,7 @@
       client.send("mg a v O1 Pc=read,d=10000\r\n");
       Peers.await("the first goes out", () -> outOf(server, "1") == 1);
       Thread drain = drain(rig);
-      Peers.await("the drain has begun", () -> rig.node.drainsClients());
+      Peers.await("the drain has begun", () -> rig.node.isDrainingClients());
       client.send("mg b v O2 Pc=read,d=1500\r\n");
       Peers.await("it goes out while the first is open", () -> outOf(server, "2") == 1);
       for (String line : List.copyOf(server.lines)) {
--- a/src/test/java/beamspread/node/EverNewTest.java
+++ b/src/test/java/beamspread/node/EverNewTest.java
@@ -20,18 +20,24 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.extension.ExtendWith;
 
-/** A node over sockets, through clients, cache servers and keys that are ever new. */
+/**
+ * Guards against collections that grow without bound: a node over sockets sees a long sequence of
+ * new clients, cache servers and keys.
+ */
 @ExtendWith(LeakCheck.class)
 class EverNewTest {
   private static final int MANY = 10_000;
 
-  /** Servers that the list names at a time. */
+  /** Servers in one list. */
   private static final int LISTED = 50;
 
-  /** What a node may keep of anything that has ended, but for what it remembers on purpose. */
+  /** Upper bound of any collection, except for those that are kept on purpose. */
   private static final int FEW = 512;
 
-  /** Keys lately answered, and ids that operators may name: their bounds. */
+  /**
+   * Bounds of the collections that are kept on purpose: recently answered keys, and ids that
+   * operators may name.
+   */
   private static final Map<String, Integer> REMEMBERED =
       Map.of("OriginGuard.answeredAt", 1 << 15, "Detachments.seen", 1 << 12);
 
@@ -45,7 +51,7 @@
     group.shutdownGracefully(30, 1000, TimeUnit.MILLISECONDS).syncUninterruptibly();
   }
 
-  /** A list of ever new servers, all of them at the few addresses that there are. */
+  /** Returns a list of new servers, all of them at the few addresses in use. */
   private String list(int version) {
     List<String> lines = new ArrayList<>();
     for (int i = 0; i < LISTED; i++) {
@@ -107,7 +113,7 @@
           discovery.send(watch, list(version));
         }
         assertThat(served).isGreaterThan(MANY * 9 / 10);
-        Peers.await("clients' ends", () -> node.clients() == 0);
+        Peers.await("all client connections are closed", () -> node.clientCount() == 0);
         Map<String, Integer> held = node.loop().submit(() -> Retained.by(node)).get();
         assertThat(held)
             .containsKeys(
--- a/src/test/java/beamspread/node/FullOfIdleClientsTest.java
+++ b/src/test/java/beamspread/node/FullOfIdleClientsTest.java
@@ -14,17 +14,19 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Idle clients take every descriptor that is to be had, while discovery is away. */
+/** Idle clients use up all available descriptors while discovery is unreachable. */
 class FullOfIdleClientsTest {
-  /** As the node's configuration says; more connections than that come. */
+  /** The limit in the node's configuration; more connections than that arrive. */
   private static final int DESCRIPTORS = 256;
 
   private static final int IDLE = 400;
 
-  /** How long discovery is away: some calls of the node's fail meanwhile. */
+  /** How long discovery is unreachable: long enough for some calls of the node to fail. */
   private static final long AWAY_NANOS = 4_000_000_000L;
 
-  /** From its return on, a change counts as told after this time. */
+  /**
+   * Time after discovery is reachable again within which the node must have received the change.
+   */
   private static final long TOLD_MILLIS = 6_000;
 
   @TempDir Path folder;
@@ -56,9 +58,10 @@
         Peers.Server discovery = Peers.discovery(41, first)) {
       files.configure("127.0.0.1:0", "\"mgmt\":\"127.0.0.1:0\",", discovery, first);
       process[0] = files.launchWithin(DESCRIPTORS);
-      Peers.await("it follows discovery", () -> !discovery.lines.isEmpty());
-      // The socket is opened once the node serves, which may come after its first call.
-      Peers.await("it tells its status", () -> tellsStatus(files));
+      Peers.await("the node has called discovery", () -> !discovery.lines.isEmpty());
+      // The status socket is opened once the node serves, which may be after its first discovery
+      // call.
+      Peers.await("the status socket is open", () -> tellsStatus(files));
       InetSocketAddress node = address(files, "listen");
       fill(node);
       served(node, "before");
@@ -84,7 +87,7 @@
       discovery.listenAgain();
       int before = second.lines.size();
       Peers.await(
-          "the new server is asked",
+          "the new server receives requests",
           () -> {
             try {
               served(node, "back" + System.nanoTime());
@@ -94,8 +97,8 @@
             }
           });
       long millis = (System.nanoTime() - back) / 1_000_000;
-      assertTrue(millis < TOLD_MILLIS, "told after " + millis + " ms");
-      assertTrue(most > DESCRIPTORS / 2, "it was not filled at all: " + most);
+      assertTrue(millis < TOLD_MILLIS, "updated after " + millis + " ms");
+      assertTrue(most > DESCRIPTORS / 2, "descriptors were not used up: " + most);
       assertFalse(files.logged("Too many open files"));
     } finally {
       for (Peers.Client client : idle) {
--- a/src/test/java/beamspread/node/Hold.java
+++ b/src/test/java/beamspread/node/Hold.java
@@ -13,9 +13,9 @@
 import java.util.concurrent.CountDownLatch;
 
 /**
- * Holds a node's event loop within its look at the sockets, by a connection of its own, until all
- * that is due within the given time has become so: that runs next, before the sockets are looked at
- * again. What is sent meanwhile lies there when it is decided.
+ * Blocks a node's event loop in its processing of sockets, by a connection of its own, until all
+ * timers that are due within the given time have become due: they run next, before the sockets are
+ * read again. Data sent meanwhile is in the sockets when those timers run.
  */
 final class Hold implements AutoCloseable {
   private final CountDownLatch held = new CountDownLatch(1);
--- a/src/test/java/beamspread/node/LargeValuesTest.java
+++ b/src/test/java/beamspread/node/LargeValuesTest.java
@@ -75,7 +75,7 @@
         assertThat(client.line()).isEqualTo("VA 5 Os" + i);
         assertThat(client.line()).isEqualTo("hello");
       }
-      assertThat(rig.node.relays().passed()).isEqualTo(5);
+      assertThat(rig.node.relayCounts().passed()).isEqualTo(5);
       assertThat(server.lines).hasSize(10);
       assertThat(server.connections).hasSizeLessThanOrEqualTo(2);
     }
@@ -104,13 +104,13 @@
         for (int i = 0; i < 6; i++) {
           clients.add(rig.client().read("L" + i));
         }
-        Peers.await("all are under way", () -> rig.node.relays().open() == 6);
-        Peers.await("reading has stopped", () -> rig.node.relays().held() >= 6 << 16);
-        assertThat(rig.node.relays().held()).isLessThan((1 << 20) + (6 << 16));
+        Peers.await("all are under way", () -> rig.node.relayCounts().open() == 6);
+        Peers.await("reading has stopped", () -> rig.node.relayCounts().held() >= 6 << 16);
+        assertThat(rig.node.relayCounts().held()).isLessThan((1 << 20) + (6 << 16));
         for (int i = 0; i < 6; i++) {
           assertValue(clients.get(i), "L" + i);
         }
-        assertThat(rig.node.relays().passed()).isEqualTo(6);
+        assertThat(rig.node.relayCounts().passed()).isEqualTo(6);
       } finally {
         for (Peers.Client client : clients) {
           client.close();
@@ -130,7 +130,7 @@
       client.bytes(MIB);
       server.breakConnections();
       assertThat(client.bytes(VALUE.length()).length).isLessThan(VALUE.length());
-      assertThat(rig.node.relays().brokenByServers()).isEqualTo(1);
+      assertThat(rig.node.relayCounts().brokenByServers()).isEqualTo(1);
       assertThat(other.read("s").line()).isEqualTo("VA 5 Os");
     }
   }
@@ -166,9 +166,9 @@
         Peers.Rig rig = new Peers.Rig(CALM, IMPATIENT, server);
         Peers.Client client = new Peers.Client(rig.address, 4096)) {
       client.read("L");
-      Peers.await("it is given up", () -> rig.node.relays().slowClients() == 1);
-      Peers.await("nothing is under way", () -> rig.node.relays().open() == 0);
-      assertThat(rig.node.relays().held()).isZero();
+      Peers.await("it is given up", () -> rig.node.relayCounts().slowClients() == 1);
+      Peers.await("nothing is under way", () -> rig.node.relayCounts().open() == 0);
+      assertThat(rig.node.relayCounts().held()).isZero();
       assertThat(client.line()).startsWith("VA ");
       assertThat(client.bytes(VALUE.length()).length).isLessThan(VALUE.length());
     }
@@ -182,8 +182,8 @@
         client.read("L");
         assertThat(client.line()).startsWith("VA ");
       }
-      Peers.await("nothing is held", () -> rig.node.relays().held() == 0);
-      Peers.await("nothing is under way", () -> rig.node.relays().open() == 0);
+      Peers.await("nothing is held", () -> rig.node.relayCounts().held() == 0);
+      Peers.await("nothing is under way", () -> rig.node.relayCounts().open() == 0);
       Peers.await("nothing is open", () -> rig.node.openRequests() == 0);
       try (Peers.Client client = rig.client()) {
         client.read("L2");
@@ -216,9 +216,9 @@
       client.read("s1");
       Peers.await("the first is out", () -> server.lines.size() == 1);
       client.read("L");
-      Peers.await("the value is on its way", () -> rig.node.relays().open() == 1);
+      Peers.await("the value is on its way", () -> rig.node.relayCounts().open() == 1);
       server.breakOne(server.lines.get(1));
-      Peers.await("its end is seen", () -> rig.node.relays().brokenByServers() == 1);
+      Peers.await("its end is seen", () -> rig.node.relayCounts().brokenByServers() == 1);
       server.send(server.lines.get(0), "VA 5 Os1 h1\r\nhello\r\n");
       assertThat(client.line()).isEqualTo("VA 5 Os1");
       assertThat(client.line()).isEqualTo("hello");
@@ -236,7 +236,7 @@
       assertThat(client.line()).startsWith("VA ");
       Thread drain = new Thread(rig.node::drain);
       drain.start();
-      Peers.await("the restart has begun", rig.node::drainsClients);
+      Peers.await("the restart has begun", rig.node::isDrainingClients);
       server.send(server.lines.get(0), VALUE.substring(2 * MIB) + "\r\n");
       assertBytes(client, VALUE);
       assertThat(client.line()).isEmpty();
--- a/src/test/java/beamspread/node/LeavingClientsTest.java
+++ b/src/test/java/beamspread/node/LeavingClientsTest.java
@@ -77,7 +77,7 @@
       followers(rig, server, first, leaves, then);
       Thread drain = new Thread(rig.node::drain);
       drain.start();
-      Peers.await("the drain has begun", () -> rig.node.drainsClients());
+      Peers.await("the drain has begun", () -> rig.node.isDrainingClients());
       assertEquals(1, server.lines.size(), "slower than what is held waits");
       leave.leave(leaves);
       onlyTheThird(server);
@@ -219,7 +219,7 @@
       Peers.Server has = wentOut(server, "2") ? server : other;
       Peers.Server lacks = has == server ? other : server;
       closesBehind(rig, leaves, client -> has.end(0, true), Peers.Client::leave);
-      Peers.await("the close is seen", () -> rig.node.clients() == 1);
+      Peers.await("the close is seen", () -> rig.node.clientCount() == 1);
       has.script = Peers::good;
       lacks.script = Peers::good;
       then.send("mg a v O3 Pc=read,d=10000\r\n");
@@ -250,7 +250,7 @@
         closesBehind(rig, leaves, setOff, Peers.Client::leave);
       } else {
         leaves.leave();
-        Peers.await("the close is seen", () -> rig.node.clients() == 2);
+        Peers.await("the close is seen", () -> rig.node.clientCount() == 2);
         assertEquals(1, server.lines.size());
         setOff.leave(leaves);
       }
--- a/src/test/java/beamspread/node/ListEndingsTest.java
+++ b/src/test/java/beamspread/node/ListEndingsTest.java
@@ -106,13 +106,13 @@
         discovery.send(
             watch, Peers.chunk(indented.substring(i, Math.min(indented.length(), i + 7))));
       }
-      Peers.await("both are known", () -> rig.node.servers() == 2);
+      Peers.await("both are known", () -> rig.node.listedServerCount() == 2);
       reaches(rig, second);
       // Two on one line, one that ends in the next piece.
       String change = list(3, false, line(first, "leaving")) + list(4, false, line(first, "left"));
       discovery.send(watch, Peers.chunk(change.substring(0, change.length() - 4)));
       discovery.send(watch, Peers.chunk(change.substring(change.length() - 4)));
-      Peers.await("the first has left", () -> rig.node.servers() == 1);
+      Peers.await("the first has left", () -> rig.node.listedServerCount() == 1);
       avoids(rig, first);
       assertEquals(1, discovery.lines.stream().filter(line -> line.startsWith("GET")).count());
     }
@@ -168,7 +168,7 @@
       // Two seconds before what it misses counts as told: enough for a connect that hangs.
       assertTrue(millis < 4_200, millis + " ms");
       assertTrue(millis > 2_500, "a sign of life comes every 2 s: " + millis + " ms");
-      assertEquals(1, rig.node.servers(), "until it answers, the list stays");
+      assertEquals(1, rig.node.listedServerCount(), "until it answers, the list stays");
     }
   }
 
@@ -185,7 +185,7 @@
       long millis = (System.nanoTime() - calledAt) / 1_000_000;
       assertTrue(millis > 2_000, "an answer may wait for 2 s: " + millis + " ms");
       assertTrue(millis < 3_500, millis + " ms");
-      assertEquals(1, rig.node.servers(), "until it answers, the list stays");
+      assertEquals(1, rig.node.listedServerCount(), "until it answers, the list stays");
     }
   }
 
@@ -204,7 +204,7 @@
       }
       discovery.send(
           watch, Peers.chunk(list(2, true, line(first, "active"), line(second, "active")) + "\n"));
-      Peers.await("the list", () -> rig.node.servers() == 2);
+      Peers.await("the list", () -> rig.node.listedServerCount() == 2);
       assertEquals(1, calls(discovery, FOLLOW));
     }
   }
@@ -231,13 +231,13 @@
         Peers.Rig rig = rig(false, discovery, first, second)) {
       int watch = changesForWhole(discovery, list(5, false, line(third, "active")));
       discovery.send(watch, Peers.chunk(list(7, false, line(second, "left")) + "\n"));
-      Peers.await("the second has left", () -> rig.node.servers() == 2);
+      Peers.await("the second has left", () -> rig.node.listedServerCount() == 2);
       String[] both = {line(first, "active"), line(second, "active")};
       discovery.send(call(discovery, READ, 0), whole(list(5, true, both)));
       Peers.await("the whole again", () -> calls(discovery, READ) == 2);
       avoids(rig, second);
       discovery.send(call(discovery, READ, 1), whole(list(7, true, line(first, "active"))));
-      Peers.await("that counts", () -> rig.node.servers() == 1);
+      Peers.await("that counts", () -> rig.node.listedServerCount() == 1);
       reaches(rig, first);
       assertEquals(2, calls(discovery, FOLLOW));
     }
@@ -254,7 +254,7 @@
       discovery.send(call(discovery, READ, 0), "HTTP/1.1 503 no\r\nContent-Length: 0\r\n\r\n");
       Peers.await("the whole again", () -> calls(discovery, READ) == 2);
       discovery.send(call(discovery, READ, 1), whole(list(6, true, line(second, "active"))));
-      Peers.await("that counts", () -> rig.node.servers() == 1);
+      Peers.await("that counts", () -> rig.node.listedServerCount() == 1);
       assertEquals(2, calls(discovery, FOLLOW));
     }
   }
@@ -269,9 +269,9 @@
       changesForWhole(discovery, list(5, false, line(second, "active")));
       discovery.send(call(discovery, READ, 0), whole("{\"version\":6,\"full\":true}"));
       Peers.await("the whole again", () -> calls(discovery, READ) == 2);
-      assertEquals(2, rig.node.servers(), "until then the last good list stays");
+      assertEquals(2, rig.node.listedServerCount(), "until then the last good list stays");
       discovery.send(call(discovery, READ, 1), whole(list(6, true, line(second, "active"))));
-      Peers.await("that counts", () -> rig.node.servers() == 1);
+      Peers.await("that counts", () -> rig.node.listedServerCount() == 1);
       assertEquals(2, calls(discovery, FOLLOW));
     }
   }
@@ -290,7 +290,7 @@
       discovery.send(watch, Peers.chunk(list(2, false, line(second, "active")) + "\n"));
       Peers.await("a call for the whole", () -> calls(discovery, READ) == 1);
       discovery.send(call(discovery, READ, 0), whole(list(2, true, line(second, "active"))));
-      Peers.await("the first is gone", () -> rig.node.servers() == 1);
+      Peers.await("the first is gone", () -> rig.node.listedServerCount() == 1);
       reaches(rig, second);
       avoids(rig, first);
     }
@@ -309,7 +309,7 @@
           "{\"id\":\"s-x\",\"addr\":\"nowhere\",\"zone\":\"a\",\"kind\":\"box\",\"state\":\"active\"}";
       discovery.send(
           watch, Peers.chunk(list(2, true, unreadable, unknown, line(second, "active")) + "\n"));
-      Peers.await("the list", () -> rig.node.servers() == 2);
+      Peers.await("the list", () -> rig.node.listedServerCount() == 2);
       reaches(rig, second);
       reaches(rig, first);
       assertEquals(1, calls(discovery, FOLLOW));
--- a/src/test/java/beamspread/node/LogTest.java
+++ b/src/test/java/beamspread/node/LogTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The node's own lines. */
+/** The node's log lines. */
 class LogTest {
   private static List<String> written(Log log, int lines) {
     PrintStream before = System.err;
@@ -18,9 +18,9 @@
     System.setErr(new PrintStream(bytes, true, StandardCharsets.UTF_8));
     try {
       for (int i = 0; i < lines; i++) {
-        log.line("line \"" + i + "\"");
+        log.info("line \"" + i + "\"");
       }
-      log.failure("sweep", new IllegalStateException("odd\nthing"));
+      log.error("sweep", new IllegalStateException("odd\nthing"));
     } finally {
       System.setErr(before);
     }
@@ -40,7 +40,7 @@
 
   @Test
   void theyAreBoundedInASecond() {
-    // A few seconds at most are begun while these are written.
+    // Writing these lines spans a few seconds at most.
     assertThat(written(new Log("n7", false), 5000)).hasSizeBetween(10, 200);
   }
 }
--- a/src/test/java/beamspread/node/ManyPeersTest.java
+++ b/src/test/java/beamspread/node/ManyPeersTest.java
@@ -14,14 +14,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/**
- * A node in a fleet of 1,024, before 1,024 cache servers, in the memory that the platform gives.
- */
+/** A node in a fleet of up to 1,024, with as many cache servers, in the memory of the platform. */
 class ManyPeersTest {
-  /** The least that a platform gives a node on the days that are scored, with room to spare. */
+  /** The least memory that the platform gives a node on scored days, with a margin. */
   private static final long MOST_RESIDENT_KB = 144 * 1024;
 
-  /** The virtual machine of the platform's line, but for its archive of classes. */
+  /** The JVM options of the platform's command line, except for the class data archive. */
   private static final List<String> MACHINE =
       List.of(
           "-XX:+UseSerialGC",
--- a/src/test/java/beamspread/node/NodeProcessTest.java
+++ b/src/test/java/beamspread/node/NodeProcessTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A node as its own process, under signals. */
+/** A node in a separate process, under signals. */
 class NodeProcessTest {
   @TempDir Path folder;
   private ServeProcess node;
@@ -58,7 +58,7 @@
   }
 
   private boolean hello(Process process) {
-    assertTrue(process.isAlive(), "the node has ended");
+    assertTrue(process.isAlive(), "the node has exited");
     try {
       String[] at = status().requiredText("listen").split(":");
       listen = new InetSocketAddress(at[0], Integer.parseInt(at[1]));
@@ -80,7 +80,7 @@
     return node.logged(text);
   }
 
-  /** Whether the log tells of a pause of so many milliseconds at least. */
+  /** Returns whether the log reports a stall of at least this many milliseconds. */
   private boolean loggedPauseOf(long millis) {
     try {
       return Files.readAllLines(node.log).stream()
@@ -109,7 +109,7 @@
         configure(moved, server);
         signal(process, "HUP");
         Peers.await("the new discovery is watched", () -> watched(moved, ""));
-        Peers.await("the old one is left", () -> old.connections.isEmpty());
+        Peers.await("the old one is disconnected", () -> old.connections.isEmpty());
         Message status = status();
         assertEquals(2, status.number("generation", 0));
         assertEquals(2, status.number("readings", 0));
@@ -119,12 +119,12 @@
         Files.writeString(config, settled.replace("\"slo\":1", "\"slo\":0.5"));
         signal(process, "HUP");
         Peers.await(
-            "other aims wait for a restart",
+            "new aims take effect only after a restart",
             () -> status(s -> s.number("generation", 0) == 3 && s.flag("needs_restart")));
         assertNotEquals(status.text("digest", ""), status().text("digest", ""));
-        // Its list counts although its version is lower.
+        // Its list applies although its version is lower.
         Peers.await(
-            "the new list is followed",
+            "the new list is used",
             () -> {
               try {
                 String id = Long.toString(System.nanoTime());
@@ -217,13 +217,14 @@
         String whole = Files.readString(config);
         Files.writeString(config, whole.substring(0, whole.length() / 2));
         signal(process, "HUP");
-        Peers.await("the log tells", () -> logged("the old configuration stays"));
-        Peers.await("the status tells", () -> status(s -> s.number("readings", 0) == 2));
+        Peers.await("the refusal is logged", () -> logged("the old configuration stays"));
+        Peers.await(
+            "the status counts the reading", () -> status(s -> s.number("readings", 0) == 2));
         assertEquals(1, status().number("generation", 0));
         assertEquals(config + ": not JSON", status().text("refusal", ""));
         Files.writeString(config, whole.replace("\"drain-grace\":2,", ""));
         signal(process, "HUP");
-        Peers.await("the next one is refused", () -> status(s -> s.number("readings", 0) == 3));
+        Peers.await("the next file is refused", () -> status(s -> s.number("readings", 0) == 3));
         assertEquals(
             config + ": settings: contract.drain-grace is missing", status().text("refusal", ""));
         assertNotEquals(status().text("digest", ""), status().text("tried_digest", ""));
@@ -236,7 +237,10 @@
     }
   }
 
-  /** So that a second stop of that length finds nothing open that is soon due. */
+  /**
+   * After a stall, attempts are abandoned earlier, so that a second stall of the same length finds
+   * no open request that is due soon.
+   */
   @Test
   void aNodeThatHasStoodStillGivesUpEarlier() throws Exception {
     try (Peers.Server server = new Peers.Server(line -> null);
@@ -245,15 +249,15 @@
       Process process = start();
       try (Peers.Client client = new Peers.Client(listen)) {
         pause(process, 800);
-        // Not one of the pauses that a start has: what is sent before it is seen may be as old as
-        // it.
-        Peers.await("it is seen", () -> loggedPauseOf(700));
+        // A start has shorter stalls of its own. What is sent before this stall is logged may count
+        // as old as the stall.
+        Peers.await("the stall is logged", () -> loggedPauseOf(700));
         long sent = System.nanoTime();
         client.send("mg a v O1 Pc=read,d=2000\r\n");
         String answer = client.line();
         long millis = (System.nanoTime() - sent) / 1_000_000;
         assertTrue(answer.startsWith("SERVER_ERROR"), answer);
-        assertTrue(millis < 1_900, "given up after " + millis + " of 2000 ms");
+        assertTrue(millis < 1_900, "abandoned after " + millis + " of 2000 ms");
         assertTrue(millis >= 1_490, "not earlier than a quarter of the wait: " + millis);
       } finally {
         process.destroyForcibly().waitFor();
@@ -278,10 +282,10 @@
         assertEquals("MN", idle.send("mn\r\n").line());
         client.send("mg a v O1 Pc=read,d=2000\r\n");
         try {
-          Peers.await("it goes out", () -> server.lines.size() == 1);
+          Peers.await("the request is sent", () -> server.lines.size() == 1);
         } catch (AssertionError e) {
           throw new AssertionError(
-              "went out: " + server.lines + ", the node: " + Files.readString(node.log), e);
+              "sent: " + server.lines + ", the node: " + Files.readString(node.log), e);
         }
         Message status = status();
         assertEquals(1, status.number("open_requests", 0));
@@ -292,8 +296,8 @@
         signal(process, "TERM");
         try (Peers.Client late = new Peers.Client(listen)) {
           late.send("mg b v O2 Pc=read,d=2000\r\n");
-          Peers.await("the late one goes out", () -> server.lines.size() == 2);
-          Peers.await("the status tells", () -> status(s -> s.flag("draining")));
+          Peers.await("the late request is sent", () -> server.lines.size() == 2);
+          Peers.await("the status reports draining", () -> status(s -> s.flag("draining")));
           assertEquals(2, status().number("open_requests", 0));
           assertNull(idle.line());
           server.script = Peers::good;
--- a/src/test/java/beamspread/node/OperatorCallsTest.java
+++ b/src/test/java/beamspread/node/OperatorCallsTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.extension.ExtendWith;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What operators call for, over sockets: figures, servers taken out and put back. */
+/** The calls of operators, over sockets: figures, and detaching and attaching servers. */
 @ExtendWith(LeakCheck.class)
 class OperatorCallsTest {
   private static final InetSocketAddress ANY = new InetSocketAddress("127.0.0.1", 0);
@@ -77,7 +77,8 @@
       assertThat(client.write("f").line()).isEqualTo("SERVER_ERROR failed");
       assertThat(count(calls, "put", "error")).isEqualTo(1);
       server.script = line -> null;
-      // More than one connection may have open: the rest is refused before the module sees it.
+      // More than one connection may have open: the rest is refused before the decision module sees
+      // it.
       StringBuilder many = new StringBuilder();
       for (int i = 0; i < 40; i++) {
         many.append("mg k v Om" + i + " Pc=read,d=5000\r\n");
@@ -87,7 +88,7 @@
       double open = figures(calls).number("concurrent", -1);
       assertThat(open + count(calls, "read", "overload")).isEqualTo(40);
       held.close();
-      Peers.await("none is open", () -> figures(calls).number("concurrent", -1) == 0);
+      Peers.await("no request is open", () -> figures(calls).number("concurrent", -1) == 0);
       assertThat(count(calls, "keyed", "error")).isZero();
     }
   }
@@ -103,7 +104,7 @@
       read(client, 0, 60);
       assertThat(one.lines).isNotEmpty();
       assertThat(calls.detach(id(one)).status()).isEqualTo(200);
-      Peers.await("its connections end", () -> one.connections.isEmpty());
+      Peers.await("its connections are closed", () -> one.connections.isEmpty());
       int before = one.lines.size();
       read(client, 100, 200);
       assertThat(calls.detach(id(one)).status()).isEqualTo(200);
@@ -136,7 +137,8 @@
       client.read("1");
       Peers.await("it is sent", () -> one.lines.size() == 1);
       assertThat(calls.detach(id(one)).status()).isEqualTo(200);
-      // What is under way may end; nothing new begins, and it is refused at once.
+      // The attempt in progress may finish; a new one may not begin, so its request is refused at
+      // once.
       client.read("2");
       one.send(one.lines.get(0), Peers.good(one.lines.get(0)));
       assertThat(client.line()).isEqualTo("VA 5 O1");
@@ -184,23 +186,23 @@
               new Peers.Rig(old.address, management(null), discovery, one, other, steady);
           Peers.Client idle = old.client()) {
         assertThat(figures(calls(young)).number("targets_disabled", -1)).isEqualTo(1);
-        // A call to either holds for both.
+        // A call to either process applies to both.
         assertThat(calls(young).attach(id(one)).status()).isEqualTo(200);
         Peers.await(
-            "the old one hears of it",
+            "the old process has attached it",
             () -> figures(calls(old)).number("targets_disabled", -1) == 0);
         assertThat(calls(old).detach(id(other)).status()).isEqualTo(200);
         Peers.await(
-            "the young one hears of it",
+            "the new process has detached it",
             () -> figures(calls(young)).number("targets_disabled", -1) == 1);
         assertThat(calls(old).attach(id(other)).status()).isEqualTo(200);
         Peers.await(
-            "it is put back at both",
+            "it is attached in both processes",
             () -> figures(calls(young)).number("targets_disabled", -1) == 0);
-        Peers.await("each sees the other", () -> old.node.seesSuccessor());
+        Peers.await("the old process has seen the new one", () -> old.node.hasSuccessor());
         old.node.drain();
         assertThat(calls(old).get("/_ready").status()).isEqualTo(503);
-        // All that connect from here on come to the young one, and none is turned down.
+        // All new connections reach the new process, and none is refused.
         for (int i = 0; i < 40; i++) {
           try (Peers.Client client = young.client()) {
             read(client, i, i + 1);
@@ -226,7 +228,7 @@
       assertThat(figures(calls).number("targets_disabled", -1)).isEqualTo(1);
       Files.move(aside, shared);
       Peers.await(
-          "it is put on record later",
+          "the detachment is recorded later",
           () -> Files.exists(shared.resolve("detached-" + number(id(one)))));
       assertThat(figures(calls).number("targets_disabled", -1)).isEqualTo(1);
     }
--- a/src/test/java/beamspread/node/OtherCustomersTest.java
+++ b/src/test/java/beamspread/node/OtherCustomersTest.java
@@ -25,7 +25,7 @@
 import org.tomlj.TomlTable;
 
 /**
- * The customers of {@code deploy/sites}: a node with the settings of each serves all its classes.
+ * Deployments under {@code deploy/sites}: a node with the settings of each serves all its classes.
  */
 @ExtendWith(LeakCheck.class)
 class OtherCustomersTest {
@@ -54,7 +54,7 @@
     };
   }
 
-  /** What the bench would tell a node of this site. */
+  /** Returns the configuration that the bench would write for a node of this site. */
   private static String config(TomlParseResult site, Peers.Server discovery, Peers.Server server) {
     TomlTable allow = site.getTable("allow");
     TomlTable connections = site.getArray("tier").getTable(0).getTable("conn");
@@ -157,7 +157,7 @@
     }
   }
 
-  /** A server that answers nothing: each class has its answer at its own deadline. */
+  /** With a server that never answers, each class is answered by its own deadline. */
   @ParameterizedTest
   @MethodSource("sites")
   void everyClassIsAnsweredByItsDeadline(Path file) throws Exception {
@@ -174,8 +174,8 @@
         String answer = client.line();
         assertTrue(answer != null && answer.startsWith("SERVER_ERROR "), answer);
       }
-      Peers.await("nothing is open", () -> node.openRequests() == 0);
-      // Where nothing may be sent twice, each has gone out once at most.
+      Peers.await("no request is open", () -> node.openRequests() == 0);
+      // A request is sent at most as often as the site allows attempts.
       for (TomlTable type : classes(site)) {
         String parameters = "Pc=" + type.getString("name") + ",";
         long sent = server.lines.stream().filter(line -> line.contains(parameters)).count();
