--- a/src/test/java/beamspread/node/Peers.java
+++ b/src/test/java/beamspread/node/Peers.java
@@ -30,16 +30,16 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Function;
 
-/** Stand-ins, on loopback sockets, for what a node talks to. */
+/** Stand-ins for the peers of a node, on loopback sockets. */
 final class Peers {
   private static final int PATIENCE_MILLIS = 20_000;
 
-  /** The head of a watch's answer. */
+  /** The head of the response to a watch. */
   static final String WATCH = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
   private Peers() {}
 
-  /** Waits for a condition, for far longer than it needs. */
+  /** Waits for a condition, for far longer than it should take. */
   static void await(String what, BooleanSupplier condition) throws InterruptedException {
     long until = System.nanoTime() + PATIENCE_MILLIS * 1_000_000L;
     while (!condition.getAsBoolean()) {
@@ -59,7 +59,7 @@
     return "";
   }
 
-  /** The answer that a cache server gives. */
+  /** Returns the reply of a healthy cache server to a command. */
   static String good(String command) {
     return command.startsWith("mg")
         ? "VA 5 O" + flag(command, 'O') + " h1\r\nhello\r\n"
@@ -77,20 +77,20 @@
     return null;
   }
 
-  /** Listens, and answers each line of a connection by a function; null answers nothing. */
+  /** A server that answers each received line by a function; null sends no answer. */
   static class Server implements AutoCloseable {
     final List<String> lines = new CopyOnWriteArrayList<>();
     final List<Socket> connections = new CopyOnWriteArrayList<>();
 
-    /** Where each line came from. */
+    /** The connection of each received line, by the line's index. */
     private final List<Source> sources = new CopyOnWriteArrayList<>();
 
     volatile Function<String, String> script;
     private volatile ServerSocket listener;
 
     /**
-     * A connection, and what is held while something is written on it. That is not the socket
-     * itself: its close waits for its monitor, and so would wait for a peer that does not read.
+     * A connection with the lock for writing to it. The lock is not the socket itself: close waits
+     * for the socket's monitor, and so would wait for a peer that does not read.
      */
     private record Source(Socket socket, Object writing) {
       void write(String text) throws IOException {
@@ -117,12 +117,12 @@
           });
     }
 
-    /** Sends text on the connection on which this line came, which must be the only such line. */
+    /** Sends text on the connection that this line came from; the line must be unique. */
     void send(String line, String text) throws IOException {
       send(lines.indexOf(line), text);
     }
 
-    /** Sends text on the connection on which the line of this number came. */
+    /** Sends text on the connection that the line of this index came from. */
     void send(int line, String text) throws IOException {
       Source to = sources.get(line);
       synchronized (to.writing) {
@@ -130,12 +130,12 @@
       }
     }
 
-    /** Ends the connection on which this line came, which must be the only such line. */
+    /** Closes the connection that this line came from; the line must be unique. */
     void breakOne(String line) throws IOException {
       sources.get(lines.indexOf(line)).socket.close();
     }
 
-    /** Ends the connection on which the line of this number came, in order or with a reset. */
+    /** Closes the connection that the line of this index came from, normally or with a reset. */
     void end(int line, boolean reset) throws IOException {
       if (reset) {
         sources.get(line).socket.setSoLinger(true, 0);
@@ -143,28 +143,28 @@
       sources.get(line).socket.close();
     }
 
-    /** Refuses new connections and keeps those it has. */
+    /** Refuses new connections and keeps the existing ones. */
     void refuse() throws IOException {
       SocketAddress address = listener.getLocalSocketAddress();
       listener.close();
-      // The close takes effect only once the thread that accepts has seen it.
+      // The close takes effect only when the accepting thread notices it.
       for (boolean refused = false; !refused; ) {
         try (Socket probe = new Socket()) {
           probe.connect(address, PATIENCE_MILLIS);
         } catch (ConnectException e) {
           refused = true;
         } catch (SocketException e) {
-          // Reset: it was still in the queue of what is to be accepted. The next one tells.
+          // Reset: the probe was still in the accept queue, so probe again.
         }
       }
     }
 
-    /** Takes new connections again, at the same address. */
+    /** Accepts new connections again, at the same address. */
     void listenAgain() throws IOException {
       listen(listener.getLocalPort());
     }
 
-    /** Ends all connections, also those with a command under way. */
+    /** Closes all connections, also those with a command in progress. */
     void breakConnections() {
       for (Socket socket : connections) {
         try {
@@ -186,7 +186,7 @@
                 try {
                   step.run();
                 } catch (IOException e) {
-                  // The other end, or the test, has closed the socket.
+                  // The peer or the test has closed the socket.
                 }
               });
       thread.setDaemon(true);
@@ -201,7 +201,8 @@
           if (line.startsWith("ms ")) {
             in.readNBytes(Integer.parseInt(line.split(" ")[2]) + 2);
           }
-          // Whoever sees the line and sends on its connection comes behind the script's answer.
+          // A test that sees the line and sends on its connection must write after the script's
+          // answer.
           synchronized (source.writing) {
             synchronized (this) {
               sources.add(source);
@@ -231,7 +232,7 @@
     }
   }
 
-  /** A discovery that answers every watch with the same list and keeps it open. */
+  /** Returns a discovery server that answers every watch with the same list and keeps it open. */
   static Server discovery(int version, Server... servers) throws IOException {
     String json = list(version, servers) + "\n";
     String answer = WATCH + chunk(json);
@@ -260,7 +261,7 @@
       this(node, 1 << 16);
     }
 
-    /** One whose socket takes little before it is read. */
+    /** Connects with a small receive buffer, so that little is received before it is read. */
     Client(InetSocketAddress node, int receiveBuffer) throws IOException {
       socket.setReceiveBufferSize(receiveBuffer);
       socket.connect(node, PATIENCE_MILLIS);
@@ -285,7 +286,7 @@
       return send("ms key-" + id + " 5 O" + id + " Pc=put,d=5000\r\nworld\r\n");
     }
 
-    /** The next line; null at the connection's end, also where it was reset. */
+    /** Returns the next line; null at the end of the connection, also after a reset. */
     String line() throws IOException {
       try {
         return Peers.line(in);
@@ -296,7 +297,7 @@
       }
     }
 
-    /** The next bytes; fewer at the connection's end, also where it was reset. */
+    /** Returns the next bytes; fewer at the end of the connection, also after a reset. */
     byte[] bytes(int count) throws IOException {
       byte[] bytes = new byte[count];
       int read = 0;
@@ -307,21 +308,24 @@
       } catch (SocketTimeoutException e) {
         throw new AssertionError("no answer", e);
       } catch (SocketException e) {
-        // Reset: what came before it counts.
+        // Reset: the bytes received before it count.
       }
       return Arrays.copyOf(bytes, read);
     }
 
-    /** Waits until the node's machine has seen this end's close, whether or not the node has. */
+    /**
+     * Waits until the kernel on the node's side has received the close, whether or not the node has
+     * read it.
+     */
     void awaitEnded() throws InterruptedException {
       String from = ":%04X ".formatted(node);
       String to = ":%04X ".formatted(local);
       await(
-          "the close has arrived",
+          "the close is received",
           () ->
               tcpLines().stream()
                   .filter(line -> line.contains(from) && line.contains(to))
-                  // 08 is CLOSE_WAIT; one that was reset is no longer there.
+                  // State 08 is CLOSE_WAIT; a connection that was reset is no longer in the table.
                   .allMatch(
                       line -> line.indexOf(from) > line.indexOf(to) || line.contains(" 08 ")));
     }
@@ -340,12 +344,12 @@
       return lines;
     }
 
-    /** Goes away. */
+    /** Closes the connection. */
     void leave() throws IOException {
       socket.close();
     }
 
-    /** Ends the connection with a reset. */
+    /** Closes the connection with a reset. */
     void reset() throws IOException {
       socket.setSoLinger(true, 0);
       socket.close();
@@ -357,7 +361,7 @@
     }
   }
 
-  /** One chunk of a watch's answer. */
+  /** Formats one chunk of the response to a watch. */
   static String chunk(String text) {
     return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
   }
@@ -411,7 +415,7 @@
     }
   }
 
-  /** A node that knows no server yet and is not started. */
+  /** Returns a node with an empty list of servers that is not started. */
   static Node node(Settings settings, Server discovery) {
     return new Node(
         new NodeConfig(
@@ -434,7 +438,7 @@
         Transport.TCP);
   }
 
-  /** A node whose list names these servers and whose discovery says nothing else. */
+  /** A running node whose list names the given servers and whose discovery reports nothing else. */
   static final class Rig implements AutoCloseable {
     private static final Settings SETTINGS =
         settings(new Settings.Limits(6, true, true, false, false, false, 1, 2, 60, 32, 20000));
@@ -463,7 +467,7 @@
           Arrays.stream(servers).map(Server::address).toList());
     }
 
-    /** A node with bounds of its own on large values. */
+    /** Starts a node with the given bounds on large values. */
     Rig(ClientConnections.Limits limits, RelaySettings relayed, Server... servers)
         throws IOException, InterruptedException {
       this(
@@ -478,7 +482,7 @@
           SETTINGS);
     }
 
-    /** A node before servers at these addresses, with bounds of its own on the connections. */
+    /** Starts a node with servers at these addresses and the given bounds on its connections. */
     Rig(ClientConnections.Limits limits, PoolSettings pool, List<InetSocketAddress> servers)
         throws IOException, InterruptedException {
       this(new Server(line -> null), limits, 256, pool, servers);
@@ -494,7 +498,9 @@
       this(new InetSocketAddress("127.0.0.1", 0), null, discovery, limits, sockets, pool, servers);
     }
 
-    /** A node that operators can call, at the address of another process of it or at port 0. */
+    /**
+     * Starts a node that operators can call, at the address of another process of it or at port 0.
+     */
     Rig(
         InetSocketAddress listen,
         NodeConfig.Management management,
@@ -532,9 +538,7 @@
           SETTINGS);
     }
 
-    /**
-     * A node with settings and bounds on its connections of its own, and a discovery that speaks.
-     */
+    /** Starts a node with the given settings, bounds on its connections, and discovery. */
     Rig(Settings settings, PoolSettings pool, Server discovery, Server... servers)
         throws IOException, InterruptedException {
       this(
--- a/src/test/java/beamspread/node/PeersTest.java
+++ b/src/test/java/beamspread/node/PeersTest.java
@@ -5,9 +5,9 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
-/** The stand-ins of the node's tests. */
+/** Tests of the stand-ins in {@link Peers}. */
 class PeersTest {
-  /** More than the buffers of two sockets on loopback hold. */
+  /** More than the buffers of two loopback sockets hold. */
   private static final int UNREAD_CHARACTERS = 64 << 20;
 
   @Test
--- a/src/test/java/beamspread/node/PoolPlanTest.java
+++ b/src/test/java/beamspread/node/PoolPlanTest.java
@@ -11,7 +11,7 @@
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 
-/** The operators' file on connections to cache servers. */
+/** The operators' file of bounds on connections to cache servers. */
 class PoolPlanTest {
   private static final Settings SETTINGS =
       Peers.settings(new Settings.Limits(6, true, true, false, false, false, 1, 2, 60, 32, 20000));
@@ -55,7 +55,7 @@
     fault("{\"idle_s\":61}", "idle_s must be 60 at most here, is 61");
     fault("{\"depth\":33}", "depth must be 32 at most");
     fault("{\"connections\":1.5}", "connections must be a whole number");
-    fault("{\"spare\":\"one\"}", "spare is no number");
+    fault("{\"spare\":\"one\"}", "spare is not a number");
     fault("{\"idel_s\":1,\"connections\":-2}", "unknown key 'idel_s'", "connections must be");
     fault("{\"connections\":2,\"spare\":2}", "spare must be under connections, which is 2");
     fault("{\"connections\":81}", "connections must be 80 at most");
--- a/src/test/java/beamspread/node/RehearsalTest.java
+++ b/src/test/java/beamspread/node/RehearsalTest.java
@@ -18,22 +18,23 @@
   @Test
   void goesThroughAllItsRequests() throws Exception {
     assertEquals(
-        Rehearsal.REQUESTS, Rehearsal.run(Rehearsal.sample(true), new Log("rehearsal", false)));
+        Rehearsal.REQUESTS,
+        Rehearsal.run(Rehearsal.sampleConfig(true), new Log("rehearsal", false)));
   }
 
   @Test
   void whoComesToADomainSocketIsMet(@TempDir Path folder) throws Exception {
-    assertTrue(Rehearsal.meets(folder.resolve("a"), folder.resolve("a")));
+    assertTrue(Rehearsal.canConnect(folder.resolve("a"), folder.resolve("a")));
   }
 
   @Test
   void whereNobodyComesThereIsNoRehearsal(@TempDir Path folder) throws Exception {
-    // Refused, as by a platform that binds domain sockets and leads nobody to them.
-    assertFalse(Rehearsal.meets(folder.resolve("a"), folder.resolve("b")));
-    // Connected elsewhere: the listener itself never hears of it.
+    // Refused, as on a platform that binds domain sockets but delivers no connections to them.
+    assertFalse(Rehearsal.canConnect(folder.resolve("a"), folder.resolve("b")));
+    // Connected to another socket: the listener never receives the connection.
     try (ServerSocketChannel elsewhere = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
       elsewhere.bind(UnixDomainSocketAddress.of(folder.resolve("d")));
-      assertFalse(Rehearsal.meets(folder.resolve("c"), folder.resolve("d")));
+      assertFalse(Rehearsal.canConnect(folder.resolve("c"), folder.resolve("d")));
     }
   }
 }
--- a/src/test/java/beamspread/node/ServeProcess.java
+++ b/src/test/java/beamspread/node/ServeProcess.java
@@ -14,14 +14,14 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A node as its own process: its configuration, its start, and what it tells of itself. */
+/** A node in a separate process: its configuration, start, status and log. */
 final class ServeProcess {
   final Path config;
   final Path log;
   private final Path folder;
   private final Path status;
 
-  /** Files of this name in a folder of the test's. */
+  /** Uses files of this name in the folder of a test. */
   ServeProcess(Path folder, String name) {
     this.folder = folder;
     config = folder.resolve(name + ".json");
@@ -32,14 +32,17 @@
   /**
    * Writes its configuration.
    *
-   * @param more further fields, each with a comma behind it
+   * @param more further fields, each followed by a comma
    */
   void configure(String listen, String more, Peers.Server discovery, Peers.Server... servers)
       throws IOException {
     configure(listen, more, discovery.address(), 1, servers);
   }
 
-  /** The same before a discovery at this address, in a fleet of so many nodes. */
+  /**
+   * Writes its configuration with a discovery at this address, in a fleet of the given number of
+   * nodes.
+   */
   void configure(
       String listen,
       String more,
@@ -69,19 +72,19 @@
     return launch(List.of(), List.of());
   }
 
-  /** One whose virtual machine is given these words. */
+  /** Starts it with these options for the JVM. */
   Process launch(List<String> machine) throws IOException {
     return launch(List.of(), machine);
   }
 
-  /** One that may hold no more descriptors than its configuration says. */
+  /** Starts it with this limit on file descriptors. */
   Process launchWithin(int descriptors) throws IOException {
     List<String> limited =
         List.of("sh", "-c", "ulimit -n " + descriptors + " && exec \"$@\"", "sh");
     return launch(limited, List.of());
   }
 
-  /** One that inherits that SIGHUP is ignored, as nohup has it. */
+  /** Starts it so that it inherits that SIGHUP is ignored, as under nohup. */
   Process launchIgnoringHangup() throws IOException {
     return launch(List.of("sh", "-c", "trap '' HUP; exec \"$@\"", "sh"), List.of());
   }
@@ -105,7 +108,7 @@
     }
   }
 
-  /** Ends it in order. */
+  /** Sends it SIGTERM. */
   static void terminate(Process process) throws IOException, InterruptedException {
     new ProcessBuilder("kill", "-TERM", Long.toString(process.pid())).start().waitFor();
   }
--- a/src/test/java/beamspread/node/ServerEndsTest.java
+++ b/src/test/java/beamspread/node/ServerEndsTest.java
@@ -12,10 +12,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A cache server's connection that ends within a reply, right behind one, or between two. */
+/** A cache server's connection that closes within a reply, right after one, or between two. */
 @ExtendWith(LeakCheck.class)
 class ServerEndsTest {
-  /** One connection to each server, two attempts on it. */
+  /** One connection to each server, with up to two attempts on it. */
   private static final PoolSettings TWO =
       new PoolSettings(1, 0, 0, 2, 8, 1, 8, 0, 8, 20_000_000_000L, 0, 20_000_000_000L, 1);
 
@@ -34,7 +34,7 @@
     return line;
   }
 
-  /** What of the reply comes before the end. */
+  /** The number of bytes of the reply that arrive before the connection closes. */
   @ParameterizedTest
   @CsvSource({"1,false", "1,true", "9,false", "9,true", "0,false", "0,true"})
   void withinAReply(int bytes, boolean reset) throws Exception {
@@ -43,7 +43,7 @@
         Peers.Client reader = rig.client();
         Peers.Client writer = rig.client()) {
       reader.read("1");
-      Peers.await("the read goes out", () -> server.lines.size() == 1);
+      Peers.await("the read is sent", () -> server.lines.size() == 1);
       String line = server.lines.get(0);
       server.send(line, Peers.good(line).substring(0, bytes));
       server.script = Peers::good;
@@ -51,12 +51,12 @@
       assertEquals("VA 5 O1", answer(reader), "a read is sent again");
       server.script = other -> null;
       writer.write("2");
-      Peers.await("the write goes out", () -> server.lines.size() == 3);
+      Peers.await("the write is sent", () -> server.lines.size() == 3);
       server.send(2, Peers.good(server.lines.get(2)).substring(0, bytes));
       server.script = Peers::good;
       server.end(2, reset);
-      assertEquals("SERVER_ERROR failed", answer(writer), "it may have run");
-      assertEquals(3, server.lines.size(), "a write is not");
+      assertEquals("SERVER_ERROR failed", answer(writer), "the write may have run");
+      assertEquals(3, server.lines.size(), "a write is not sent again");
     }
   }
 
@@ -67,13 +67,13 @@
         Peers.Rig rig = rig(server);
         Peers.Client client = rig.client()) {
       client.write("1");
-      Peers.await("it goes out", () -> server.lines.size() == 1);
+      Peers.await("the write is sent", () -> server.lines.size() == 1);
       String line = server.lines.get(0);
       server.script = Peers::good;
       server.send(line, Peers.good(line));
       server.end(0, reset);
       String first = answer(client);
-      // A reset may destroy what the socket holds: then it is as if nothing had come.
+      // A reset may discard received data: then the result is as if no reply had arrived.
       assertEquals(true, first.equals("HD O1 c77") || reset && first.endsWith("failed"), first);
       assertEquals("HD O2 c77", answer(client.write("2")));
       assertEquals(List.of("1", "2"), server.lines.stream().map(l -> Peers.flag(l, 'O')).toList());
@@ -88,14 +88,14 @@
         Peers.Client first = rig.client();
         Peers.Client second = rig.client()) {
       first.read("1");
-      Peers.await("the first goes out", () -> server.lines.size() == 1);
+      Peers.await("the first is sent", () -> server.lines.size() == 1);
       second.write("2");
       Peers.await("both are open", () -> rig.node.openRequests() == 2);
-      Peers.await("the second is behind it", () -> rig.node.serverSockets() == 1);
+      Peers.await("the second shares its connection", () -> rig.node.serverSockets() == 1);
       String line = server.lines.get(0);
       server.send(line, Peers.good(line));
       assertEquals("VA 5 O1", answer(first));
-      Peers.await("the second is read", () -> server.lines.size() == 2);
+      Peers.await("the server has read the second", () -> server.lines.size() == 2);
       server.script = Peers::good;
       server.end(0, reset);
       assertEquals("SERVER_ERROR failed", answer(second));
--- a/src/test/java/beamspread/node/ServersTest.java
+++ b/src/test/java/beamspread/node/ServersTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.extension.ExtendWith;
 
-/** Many servers, few descriptors, and lists that make no sense. */
+/** Many servers with few descriptors, and invalid lists from discovery. */
 @ExtendWith(LeakCheck.class)
 class ServersTest {
   private static final ClientConnections.Limits CALM = ClientConnections.Limits.usual(50);
@@ -33,7 +33,8 @@
         assertEquals("hello", client.line());
       }
       assertTrue(servers.stream().filter(server -> !server.lines.isEmpty()).count() > 12);
-      Peers.await("no more than their part are kept", () -> open(servers) <= 12);
+      Peers.await(
+          "no more connections are kept than the limit for servers", () -> open(servers) <= 12);
     } finally {
       for (Peers.Server server : servers) {
         server.close();
@@ -67,7 +68,7 @@
           Peers.Rig rig = new Peers.Rig(discovery, CALM, 256, server);
           Peers.Client client = rig.client()) {
         Peers.await(
-            "all is asked for again",
+            "the full list is requested again",
             () -> discovery.lines.stream().anyMatch(line -> line.contains("?follow=1 ")));
         assertEquals("VA 5 O1", client.read("1").line());
       }
--- a/src/test/java/beamspread/node/StalledNodeTest.java
+++ b/src/test/java/beamspread/node/StalledNodeTest.java
@@ -24,17 +24,18 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A node that stalls under open requests, and requests that are sent to it meanwhile, judged from
- * the clients' side: each has one whole answer at most half a second after its time, unless that
- * was over before the node could run again, and nothing is sent on for one whose time is past.
+ * A node that stalls with open requests while more are sent to it, observed by its clients. Each
+ * request must have exactly one complete answer, at most half a second after its deadline unless
+ * that had passed before the node could run again. Nothing may be sent to cache servers for a
+ * request whose deadline has passed.
  */
 class StalledNodeTest {
   private static final long MS = 1_000_000L;
 
-  /** What an answer that comes late may be late by before its request is lost. */
+  /** How late an answer may be before its request counts as lost. */
   private static final long SLACK_NANOS = 500 * MS;
 
-  /** A request whose time is over so shortly before or after the stall ends proves nothing. */
+  /** Requests whose deadline is this close to the end of the stall are not judged. */
   private static final long DOUBT_NANOS = 60 * MS;
 
   private static final int DURING = 30;
@@ -48,7 +49,7 @@
   private final SplittableRandom random = new SplittableRandom(4711);
   private int ids;
 
-  /** A request and what came of it, as its client saw it. */
+  /** A request and its answer as the client received it. */
   private record Answered(String id, long dueAt, String first, long answeredAt, String second) {
     boolean whole() {
       return first != null
@@ -57,7 +58,7 @@
     }
   }
 
-  /** Answers reads of keys that begin with f, and leaves all others without an answer. */
+  /** Returns a server that answers reads of keys that begin with f, and nothing else. */
   private static Peers.Server server() throws IOException {
     return new Peers.Server(line -> line.startsWith("mg f") ? Peers.good(line) : null);
   }
@@ -69,7 +70,7 @@
       if (first != null && first.startsWith("VA ")) {
         assertThat(client.line()).isEqualTo("hello");
       }
-      // One end of the connection after another: nothing more may come before it.
+      // A no-op command follows: its reply must be the next line, or an extra answer was sent.
       client.send("mn\r\n");
       String second = client.line();
       client.close();
@@ -91,7 +92,7 @@
     }
   }
 
-  /** Serves some requests, so that the node knows its cache servers to answer. */
+  /** Sends some requests that are served, so that the node has statistics on its cache servers. */
   private void warm(InetSocketAddress node) throws IOException {
     try (Peers.Client client = new Peers.Client(node)) {
       for (int i = 0; i < WARM; i++) {
@@ -104,7 +105,7 @@
     }
   }
 
-  /** Sends what comes during the stall, spread over it. */
+  /** Sends requests spread evenly over the stall. */
   private void askDuring(InetSocketAddress node, long stalledAt, long millis) throws IOException {
     for (int i = 0; i < DURING; i++) {
       pause(stalledAt + millis * MS * i / DURING);
@@ -114,11 +115,11 @@
   }
 
   /**
-   * Judges all answers.
+   * Checks all answers.
    *
-   * @param sentOn what the cache servers were sent
-   * @param open how many were open when the stall began
-   * @return how many had to be lost
+   * @param sentOn the lines that the cache servers received
+   * @param open how many requests were open when the stall began
+   * @return how many answers were unavoidably late
    */
   private int judge(long runsAgainAt, List<String> sentOn, int open) throws Exception {
     Set<String> begun =
@@ -136,7 +137,7 @@
       }
       boolean past = runsAgainAt - one.dueAt > DOUBT_NANOS;
       if (i >= open && past) {
-        assertThat(begun).as("sent on though its time was past").doesNotContain(one.id);
+        assertThat(begun).as("sent to a server after its deadline").doesNotContain(one.id);
       }
     }
     return lost;
@@ -191,7 +192,7 @@
         for (int i = 0; i < open; i++) {
           ask(address, "h", 1000 + random.nextInt(2000));
         }
-        Peers.await("all are taken", () -> openRequests(node) >= open);
+        Peers.await("all requests are received", () -> openRequests(node) >= open);
         signal(process, "STOP");
         long stalledAt = System.nanoTime();
         askDuring(address, stalledAt, millis);
@@ -199,9 +200,9 @@
         long runsAgainAt = System.nanoTime();
         List<String> sentOn = new ArrayList<>();
         int lost = judgeLater(runsAgainAt, servers, sentOn, open);
-        System.out.printf("%d open, stopped for %d ms: %d had to be lost%n", open, millis, lost);
+        System.out.printf("%d open, stopped for %d ms: %d unavoidably late%n", open, millis, lost);
         assertThat(lost).isLessThanOrEqualTo(open);
-        Peers.await("nothing is left open", () -> openRequests(node) == 0);
+        Peers.await("no request is left open", () -> openRequests(node) == 0);
       } finally {
         process.destroyForcibly().waitFor();
       }
@@ -213,7 +214,9 @@
     }
   }
 
-  /** Judges once all clients have their answers, and so all that was to be sent on is sent. */
+  /**
+   * Checks the answers once all clients have theirs, so that everything to be sent has been sent.
+   */
   private int judgeLater(
       long runsAgainAt, List<Peers.Server> servers, List<String> sentOn, int open)
       throws Exception {
@@ -233,7 +236,7 @@
       for (int i = 0; i < 60; i++) {
         ask(rig.address, "h", 1000 + random.nextInt(2000));
       }
-      Peers.await("all are taken", () -> rig.node.openRequests() >= 60);
+      Peers.await("all requests are received", () -> rig.node.openRequests() >= 60);
       long stalledAt = System.nanoTime();
       long runsAgainAt;
       try (Hold hold = new Hold(rig.node, 0)) {
@@ -243,14 +246,14 @@
       }
       List<String> sentOn = new ArrayList<>();
       int lost = judgeLater(runsAgainAt, List.of(server), sentOn, 60);
-      System.out.printf("60 open, held for %d ms: %d had to be lost%n", millis, lost);
+      System.out.printf("60 open, blocked for %d ms: %d unavoidably late%n", millis, lost);
       assertThat(lost).isLessThanOrEqualTo(60);
     } finally {
       readers.shutdownNow();
     }
   }
 
-  /** Requests that wait behind a client's earlier ones, and clients that leave meanwhile. */
+  /** A client that disconnects during the stall is not served; another one that stays is. */
   @Test
   void whoLeavesDuringTheStallIsNotServed() throws Exception {
     try (Peers.Server server = server();
@@ -268,7 +271,7 @@
         assertThat(stays.line()).isEqualTo("VA 5 Ostays");
       }
       assertThat(server.lines).noneMatch(line -> line.contains("Oleaves"));
-      Peers.await("nothing is left open", () -> rig.node.openRequests() == 0);
+      Peers.await("no request is left open", () -> rig.node.openRequests() == 0);
       stays.close();
     } finally {
       readers.shutdownNow();
--- a/src/test/java/beamspread/node/StopUnderLoadTest.java
+++ b/src/test/java/beamspread/node/StopUnderLoadTest.java
@@ -21,17 +21,19 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A process that is told to end with requests in every state. Counted from outside: each that was
- * sent whole before the process was told has exactly one final answer, in time.
+ * A process that receives SIGTERM with requests in every state. Checked from outside: each request
+ * that was sent completely before the signal has exactly one final answer, in time.
  */
 class StopUnderLoadTest {
-  /** The longest deadline of the settings and what a stop has beyond it before it is killed. */
+  /**
+   * The longest deadline of the settings plus the time after it until the platform kills a node.
+   */
   private static final long MOST_MILLIS = 3_000 + 700;
 
   @TempDir Path folder;
   private final CountDownLatch answer = new CountDownLatch(1);
 
-  /** Clients and the ids that each is owed, in order. */
+  /** The clients, each with the ids of its expected answers in order. */
   private final Map<Peers.Client, List<String>> owed = new LinkedHashMap<>();
 
   private int ids;
@@ -48,7 +50,7 @@
     return "ms " + key + " 5 O" + id + " Pc=put,d=2900\r\nworld\r\n";
   }
 
-  /** Answers once the test lets it, so that requests are open when the process is told to end. */
+  /** Answers once the test allows it, so that requests are open when SIGTERM arrives. */
   private String held(String line) {
     try {
       answer.await();
@@ -63,7 +65,7 @@
     Peers.await(
         "the node answers",
         () -> {
-          assertTrue(process.isAlive(), "the node has ended");
+          assertTrue(process.isAlive(), "the node has exited");
           try {
             String[] at = node.status().requiredText("listen").split(":");
             found[0] = new InetSocketAddress(at[0], Integer.parseInt(at[1]));
@@ -77,7 +79,10 @@
     return found[0];
   }
 
-  /** Reads what each client is owed, and that nothing more comes; how many were served. */
+  /**
+   * Reads the expected answers of each client, and checks that nothing follows; returns how many
+   * requests were served.
+   */
   private int settle() throws IOException {
     int served = 0;
     for (Map.Entry<Peers.Client, List<String>> one : owed.entrySet()) {
@@ -119,7 +124,7 @@
       try {
         InetSocketAddress address = listens(node, process);
         List<Peers.Client> halves = new ArrayList<>();
-        // Out, or held for what is out: eight for each of five keys.
+        // In flight, or waiting for an identical request in flight: eight for each of five keys.
         for (int i = 0; i < 40; i++) {
           Peers.Client client = new Peers.Client(address);
           client.send(read(client, "same-" + i % 5));
@@ -128,12 +133,12 @@
           Peers.Client client = new Peers.Client(address);
           client.send(i % 2 == 0 ? read(client, "one-" + i) : write(client, "one-" + i));
         }
-        // Several on one connection, in one piece.
+        // Several on one connection, sent at once.
         for (int i = 0; i < 20; i++) {
           Peers.Client client = new Peers.Client(address);
           client.send(read(client, "a-" + i) + write(client, "b-" + i) + read(client, "c-" + i));
         }
-        // Half a command: the rest comes once the process was told to end.
+        // Incomplete commands: the rest is sent after SIGTERM.
         for (int i = 0; i < 20; i++) {
           Peers.Client client = new Peers.Client(address);
           String command = write(client, "half-" + i);
@@ -142,13 +147,13 @@
           owed.get(client).add(command.substring(12 + i));
         }
         long open = 40 + 50 + 60;
-        Peers.await("all are taken", () -> openRequests(node) >= open);
+        Peers.await("all requests are received", () -> openRequests(node) >= open);
         long told = System.nanoTime();
         ServeProcess.terminate(process);
         for (Peers.Client client : halves) {
           client.send(owed.get(client).remove(1));
         }
-        // New ones go on coming for a while.
+        // New connections keep arriving for a while.
         for (int i = 0; i < 30; i++) {
           Peers.Client client = new Peers.Client(address);
           client.send(read(client, "new-" + i));
@@ -213,7 +218,7 @@
           }
           settle();
           assertTrue(process.waitFor(20, TimeUnit.SECONDS));
-          assertEquals(143, process.exitValue(), "ended by the signal, in order");
+          assertEquals(143, process.exitValue(), "exited normally on the signal");
         } finally {
           process.destroyForcibly().waitFor();
         }
@@ -232,9 +237,9 @@
         InetSocketAddress address = listens(node, process);
         Peers.Client client = new Peers.Client(address);
         client.send(read(client, "key"));
-        Peers.await("it goes out", () -> server.lines.size() == 1);
+        Peers.await("the request is sent", () -> server.lines.size() == 1);
         ServeProcess.terminate(process);
-        Peers.await("it drains", () -> drains(node));
+        Peers.await("the node drains", () -> drains(node));
         ServeProcess.terminate(process);
         new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor();
         Peers.Client late = new Peers.Client(address);
--- a/src/test/java/beamspread/node/TroubledServersTest.java
+++ b/src/test/java/beamspread/node/TroubledServersTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.extension.ExtendWith;
 
-/** Cache servers that run, and have a trouble of their own that is not the others'. */
+/** Cache servers that respond, but with faults that must not affect the others. */
 @ExtendWith(LeakCheck.class)
 class TroubledServersTest {
   private static final ClientConnections.Limits CALM = ClientConnections.Limits.usual(150);
@@ -48,7 +48,8 @@
         }
         for (int i = 0; i < 20; i++) {
           String id = "next" + i;
-          Peers.await(id + " is sent too", () -> reached(id, bad, silent, silentToo, silentAsWell));
+          Peers.await(
+              id + " is sent as well", () -> reached(id, bad, silent, silentToo, silentAsWell));
         }
       } finally {
         for (Peers.Client client : clients) {
@@ -69,7 +70,7 @@
         Peers.Server goodToo = new Peers.Server(Peers::good);
         Peers.Rig rig = new Peers.Rig(CALM, bad, badToo, good, goodToo);
         Peers.Client client = rig.client()) {
-      // More than the tokens that a failed attempt costs elsewhere would do for.
+      // More retries than the token bucket for failed attempts would allow.
       for (int i = 0; i < 1000 && reads.get() < 200; i++) {
         assertEquals("VA 5 O" + i, client.read("" + i).line());
         client.line();
@@ -93,7 +94,7 @@
       one.line();
       server.refuse();
       both(one, other, "refused");
-      Peers.await("one is left", () -> server.connections.size() == 1);
+      Peers.await("one connection is left", () -> server.connections.size() == 1);
       server.listenAgain();
       int[] round = {0};
       Peers.await(
@@ -113,7 +114,7 @@
       for (int i = 0; i < 12; i++) {
         clients.add(rig.client().read("held" + i));
       }
-      Peers.await("all are held", () -> silent.lines.size() == 12);
+      Peers.await("all requests are pending at the server", () -> silent.lines.size() == 12);
       for (int i = 0; i < 8; i++) {
         clients.add(write(rig, "short" + i, 100));
       }
@@ -124,9 +125,9 @@
       for (int i = 0; i < 12; i++) {
         clients.add(write(rig, "next" + i, 5000));
       }
-      // On a slow machine the module may have begun to refuse by now: then fewer are sent.
+      // On a slow machine the decision module may refuse requests by now, and then fewer are sent.
       Peers.await(
-          "the next are sent",
+          "the next requests are sent",
           () -> silent.lines.size() == 32 || System.nanoTime() - began > 3_000_000_000L);
       int open = silent.connections.size();
       assertTrue(open <= 8, open + " connections");
@@ -155,7 +156,7 @@
     }
   }
 
-  /** Long enough for another request to come meanwhile; nothing depends on how long. */
+  /** Long enough for another request to arrive meanwhile; nothing depends on the length. */
   private static void pause() {
     try {
       Thread.sleep(20);
--- a/src/test/java/beamspread/node/UpgradeTest.java
+++ b/src/test/java/beamspread/node/UpgradeTest.java
@@ -12,9 +12,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A new version is started on the same addresses while the old one serves: two processes. */
+/** An upgrade: a new process starts on the same addresses while the old one serves. */
 class UpgradeTest {
-  /** Requests that may meet a connection just as it ends; the protocol has them sent once more. */
+  /**
+   * Requests that may reach a connection just as it closes; the protocol has clients send them
+   * again.
+   */
   private static final int CROSSINGS = 2;
 
   @TempDir Path folder;
@@ -32,7 +35,7 @@
   private Calls ready(String name) throws InterruptedException {
     Calls[] calls = new Calls[1];
     Peers.await(
-        name + " says yes",
+        name + " is ready",
         () -> {
           try {
             String[] at = node(name).status().requiredText("mgmt").split(":");
@@ -53,7 +56,7 @@
     }
   }
 
-  /** Asks on a new connection each time; whether it was served. */
+  /** Sends a read on a new connection; returns whether it was served. */
   private static boolean served(InetSocketAddress node, String id) {
     try (Peers.Client client = new Peers.Client(node)) {
       return ("VA 5 O" + id).equals(client.read(id).line());
@@ -87,7 +90,7 @@
       try (Peers.Client kept = new Peers.Client(node)) {
         long began = System.nanoTime();
         Peers.await(
-            "requests are served for longer than rates take to be learnt",
+            "requests are served for long enough to learn rates",
             () -> served.get() > 50 && System.nanoTime() - began > 2_500_000_000L);
         young = launch("young", listen, discovery, server);
         Calls youngCalls = ready("young");
@@ -95,11 +98,12 @@
             .isTrue();
         int before = served.get();
         old.destroy();
-        // What was sent on a connection that is kept is answered as long as it is open.
+        // A request on a connection that stays open is answered, unless the connection was already
+        // closed.
         String answer = kept.read("kept").line();
         assertThat(answer).isIn("VA 5 Okept", null);
         assertThat(old.waitFor(20, TimeUnit.SECONDS)).isTrue();
-        Peers.await("the young one serves on", () -> served.get() > before + 200);
+        Peers.await("the new process serves requests", () -> served.get() > before + 200);
         assertThat(youngCalls.get("/_vars").body().number("targets", 0)).isEqualTo(1);
       } finally {
         stop.set(true);
--- a/src/test/java/beamspread/node/VariantNodeTest.java
+++ b/src/test/java/beamspread/node/VariantNodeTest.java
@@ -102,7 +102,8 @@
   }
 
   private static boolean holds(Node node) {
-    return node.variants() != null && node.variants().held().inForce(System.nanoTime()) != null;
+    return node.variantKeys() != null
+        && node.variantKeys().held().inForce(System.nanoTime()) != null;
   }
 
   private static void read(Peers.Client client, String key, String id, String value)
@@ -182,7 +183,7 @@
       try (Peers.Client client = new Peers.Client(address)) {
         Peers.await("a table holds", () -> holds(node));
         int asked = 0;
-        while (node.variants().counts().differed == 0) {
+        while (node.variantKeys().counts().differed == 0) {
           assertThat(asked++).isLessThan(20_000);
           for (String key : List.of("page/phone/1", "page/tablet/1")) {
             client.send("mg " + key + " v O" + key.hashCode() + asked + " Pc=read,d=5000\r\n");
