--- a/src/test/java/beamspread/node/ClosesTest.java
+++ b/src/test/java/beamspread/node/ClosesTest.java
@@ -31,25 +31,25 @@
   private static void asked(List<Peers.Client> clients, int count, Peers.Rig rig) throws Exception {
     for (int i = 0; i < count; i++) {
       clients.add(rig.client());
-      assertEquals("VA 5 Oa" + i, clients.get(i).read("a" + i).line());
-      assertEquals("hello", clients.get(i).line());
+      assertEquals("VA 5 Oa" + i, clients.get(i).read("a" + i).readLine());
+      assertEquals("hello", clients.get(i).readLine());
     }
   }
 
   @Test
   void idleConnectionsWhoseTimeRanOutMeanwhileAreAnswered() throws Exception {
     List<Peers.Client> clients = new ArrayList<>();
-    try (Peers.Server server = new Peers.Server(Peers::good);
+    try (Peers.Server server = new Peers.Server(Peers::successReply);
         Peers.Rig rig = new Peers.Rig(limits(40, LONG, SHORT), server)) {
       asked(clients, 20, rig);
-      try (Hold hold = new Hold(rig.node, 4 * SHORT)) {
+      try (EventLoopHold hold = new EventLoopHold(rig.node, 4 * SHORT)) {
         for (int i = 0; i < 20; i++) {
           clients.get(i).read("b" + i);
         }
         hold.release();
       }
       for (int i = 0; i < 20; i++) {
-        assertEquals("VA 5 Ob" + i, clients.get(i).line());
+        assertEquals("VA 5 Ob" + i, clients.get(i).readLine());
       }
     } finally {
       closeAll(clients);
@@ -60,10 +60,10 @@
   void whoHasAskedDoesNotGiveWayAndWhoFindsNoRoomIsTold() throws Exception {
     List<Peers.Client> kept = new ArrayList<>();
     List<Peers.Client> fresh = new ArrayList<>();
-    try (Peers.Server server = new Peers.Server(Peers::good);
+    try (Peers.Server server = new Peers.Server(Peers::successReply);
         Peers.Rig rig = new Peers.Rig(limits(10, LONG, LONG), server)) {
       asked(kept, 10, rig);
-      try (Hold hold = new Hold(rig.node, SHORT)) {
+      try (EventLoopHold hold = new EventLoopHold(rig.node, SHORT)) {
         for (int i = 0; i < 10; i++) {
           kept.get(i).read("b" + i);
           fresh.add(rig.client().read("c" + i));
@@ -71,8 +71,8 @@
         hold.release();
       }
       for (int i = 0; i < 10; i++) {
-        assertEquals("VA 5 Ob" + i, kept.get(i).line());
-        assertNotNull(fresh.get(i).line(), "cut off without a byte");
+        assertEquals("VA 5 Ob" + i, kept.get(i).readLine());
+        assertNotNull(fresh.get(i).readLine(), "cut off without a byte");
       }
     } finally {
       closeAll(kept);
@@ -83,13 +83,13 @@
   @Test
   void freshConnectionsThatHaveAskedDoNotGiveWay() throws Exception {
     List<Peers.Client> fresh = new ArrayList<>();
-    try (Peers.Server server = new Peers.Server(Peers::good);
+    try (Peers.Server server = new Peers.Server(Peers::successReply);
         Peers.Rig rig = new Peers.Rig(limits(5, LONG, LONG), server)) {
       for (int i = 0; i < 5; i++) {
         fresh.add(rig.client());
       }
       Peers.await("all are accepted", () -> rig.node.clientCount() == 5);
-      try (Hold hold = new Hold(rig.node, SHORT)) {
+      try (EventLoopHold hold = new EventLoopHold(rig.node, SHORT)) {
         for (int i = 0; i < 5; i++) {
           fresh.get(i).read("b" + i);
           fresh.add(rig.client().read("c" + i));
@@ -97,8 +97,8 @@
         hold.release();
       }
       for (int i = 0; i < 5; i++) {
-        assertEquals("VA 5 Ob" + i, fresh.get(i).line());
-        assertNotNull(fresh.get(i + 5).line(), "cut off without a byte");
+        assertEquals("VA 5 Ob" + i, fresh.get(i).readLine());
+        assertNotNull(fresh.get(i + 5).readLine(), "cut off without a byte");
       }
     } finally {
       closeAll(fresh);
@@ -107,25 +107,25 @@
 
   @Test
   void aCommandWhoseEndLiesInTheSocketIsNoHalfCommand() throws Exception {
-    try (Peers.Server server = new Peers.Server(Peers::good);
+    try (Peers.Server server = new Peers.Server(Peers::successReply);
         Peers.Rig rig = new Peers.Rig(limits(9, 2 * SHORT, LONG), server);
         Peers.Client client = rig.client()) {
       client.send("mg key-1 v O1 Pc=re");
       Peers.await("it has connected", () -> rig.node.clientCount() == 1);
       // Its first half is read by then; if not, there is nothing to guard against.
       Thread.sleep(50);
-      try (Hold hold = new Hold(rig.node, 5 * SHORT)) {
+      try (EventLoopHold hold = new EventLoopHold(rig.node, 5 * SHORT)) {
         client.send("ad,d=5000\r\n");
         hold.release();
       }
-      assertEquals("VA 5 O1", client.line());
+      assertEquals("VA 5 O1", client.readLine());
     }
   }
 
   @Test
   void aDrainAnswersWhatWasSentBeforeItCloses() throws Exception {
     List<Peers.Client> clients = new ArrayList<>();
-    try (Peers.Server server = new Peers.Server(Peers::good);
+    try (Peers.Server server = new Peers.Server(Peers::successReply);
         Peers.Rig rig = new Peers.Rig(limits(40, LONG, LONG), server)) {
       asked(clients, 5, rig);
       Thread drain = new Thread(rig.node::drain);
@@ -133,7 +133,7 @@
       // Its listener closes half a second after it has begun: here, while the loop is held.
       Peers.await("the drain", () -> drain.getState() == Thread.State.TIMED_WAITING);
       rig.node.loop().submit(() -> {}).sync();
-      try (Hold hold = new Hold(rig.node, 10 * SHORT)) {
+      try (EventLoopHold hold = new EventLoopHold(rig.node, 10 * SHORT)) {
         for (int i = 0; i < 5; i++) {
           clients.get(i).send("mg key v Ob" + i + " Pc=read,d=2000\r\n");
           clients.add(rig.client().send("mg key v Oc" + i + " Pc=read,d=2000\r\n"));
@@ -141,10 +141,10 @@
         hold.release();
       }
       for (int i = 0; i < 5; i++) {
-        assertEquals("VA 5 Ob" + i, clients.get(i).line());
-        assertEquals("VA 5 Oc" + i, clients.get(i + 5).line());
-        assertEquals("hello", clients.get(i).line());
-        assertNull(clients.get(i).line());
+        assertEquals("VA 5 Ob" + i, clients.get(i).readLine());
+        assertEquals("VA 5 Oc" + i, clients.get(i + 5).readLine());
+        assertEquals("hello", clients.get(i).readLine());
+        assertNull(clients.get(i).readLine());
       }
       drain.join();
     } finally {
@@ -167,18 +167,18 @@
       client.send("mg key-3 v O3 Pc=read,d=400\r\n");
       late.send("mg key-4 v O4 Pc=read,d=60000\r\n");
       // First: the answers let the next request out at once.
-      server.script = Peers::good;
+      server.script = Peers::successReply;
       for (String line : List.copyOf(server.lines)) {
-        server.send(line, Peers.good(line));
+        server.send(line, Peers.successReply(line));
       }
-      assertEquals("VA 5 O1", client.line());
-      assertEquals("hello", client.line());
-      assertEquals("VA 5 O3", client.line());
+      assertEquals("VA 5 O1", client.readLine());
+      assertEquals("hello", client.readLine());
+      assertEquals("VA 5 O3", client.readLine());
       // What this node may not live to answer is turned away, which is harmless.
-      assertEquals("VA 5 O2", late.line());
-      assertEquals("hello", late.line());
-      assertEquals("SERVER_ERROR busy", late.line());
-      assertNull(late.line());
+      assertEquals("VA 5 O2", late.readLine());
+      assertEquals("hello", late.readLine());
+      assertEquals("SERVER_ERROR busy", late.readLine());
+      assertNull(late.readLine());
       drain.join();
     }
   }
@@ -190,11 +190,11 @@
         Peers.Client client = rig.client()) {
       client.send("mg key-1 v O1 Pc=read,d=300\r\n");
       Peers.await("the request goes out", () -> server.lines.size() == 1);
-      try (Hold hold = new Hold(rig.node, 5 * SHORT)) {
-        server.send(server.lines.get(0), Peers.good(server.lines.get(0)));
+      try (EventLoopHold hold = new EventLoopHold(rig.node, 5 * SHORT)) {
+        server.send(server.lines.get(0), Peers.successReply(server.lines.get(0)));
         hold.release();
       }
-      assertEquals("VA 5 O1", client.line());
+      assertEquals("VA 5 O1", client.readLine());
     }
   }
 
@@ -205,14 +205,14 @@
         Peers.Client client = rig.client()) {
       client.read("1");
       Peers.await("the request goes out", () -> server.lines.size() == 1);
-      String reply = Peers.good(server.lines.get(0));
+      String reply = Peers.successReply(server.lines.get(0));
       server.send(server.lines.get(0), reply.substring(0, 12));
       Thread.sleep(50);
-      try (Hold hold = new Hold(rig.node, 8 * SHORT)) {
+      try (EventLoopHold hold = new EventLoopHold(rig.node, 8 * SHORT)) {
         server.send(server.lines.get(0), reply.substring(12));
         hold.release();
       }
-      assertEquals("VA 5 O1", client.line());
+      assertEquals("VA 5 O1", client.readLine());
       assertEquals(1, server.lines.size(), "no second attempt");
     }
   }
@@ -220,7 +220,7 @@
   @Test
   void thePausesAreOnTheStatus() throws Exception {
     try (Peers.Rig rig = new Peers.Rig(limits(9, LONG, LONG))) {
-      new Hold(rig.node, 2 * SHORT).close();
+      new EventLoopHold(rig.node, 2 * SHORT).close();
       Peers.await("a pause", () -> rig.node.watch().pauses() > 0);
       assertTrue(rig.node.watch().longestNanos() >= 2 * SHORT);
     }
--- a/src/test/java/beamspread/node/ConfigWatchTest.java
+++ b/src/test/java/beamspread/node/ConfigWatchTest.java
@@ -13,7 +13,7 @@
   @TempDir Path folder;
 
   @Test
-  void aChangeCountsOnceAndOnlyWhenTheFileHasSettled() throws Exception {
+  void reportsChangeOnceAfterFileHasSettled() throws Exception {
     Path file = folder.resolve("node.json");
     AtomicInteger changes = new AtomicInteger();
     Files.writeString(file, "first");
--- a/src/test/java/beamspread/node/OtherCustomersTest.java
+++ b/src/test/java/beamspread/node/DeploymentSitesTest.java
@@ -28,7 +28,7 @@
  * Deployments under {@code deploy/sites}: a node with the settings of each serves all its classes.
  */
 @ExtendWith(LeakCheck.class)
-class OtherCustomersTest {
+class DeploymentSitesTest {
   private static final Path SITES = Path.of("deploy", "sites");
 
   static List<Path> sites() throws IOException {
@@ -71,7 +71,7 @@
           out.writeNumberField("sockets", 512);
           out.writeEndObject();
           out.writeFieldName("known");
-          out.writeRawValue(Peers.list(1, server));
+          out.writeRawValue(Peers.listJson(1, server));
           out.writeObjectFieldStart("settings");
           out.writeStringField("zone", zones.getString(0));
           out.writeArrayFieldStart("azs");
@@ -134,33 +134,33 @@
 
   @ParameterizedTest
   @MethodSource("sites")
-  void everyClassIsServedAndThoseOfOthersAreNot(Path file) throws Exception {
+  void servesOnlyItsOwnClasses(Path file) throws Exception {
     TomlParseResult site = Toml.parse(file);
     assertFalse(site.hasErrors(), () -> site.errors().toString());
-    try (Peers.Server server = new Peers.Server(Peers::good);
+    try (Peers.Server server = new Peers.Server(Peers::successReply);
         Peers.Server discovery = new Peers.Server(line -> null);
         Node node = node(site, discovery, server);
         Peers.Client client = new Peers.Client((InetSocketAddress) node.start())) {
       int number = 0;
       for (TomlTable type : classes(site)) {
         String id = "i" + ++number;
-        String answer = client.send(request(type, id)).line();
+        String answer = client.send(request(type, id)).readLine();
         boolean write = Boolean.TRUE.equals(type.getBoolean("write"));
         assertEquals(write ? "HD O" + id + " c77" : "VA 5 O" + id, answer, type.getString("name"));
         if (!write) {
-          client.line();
+          client.readLine();
         }
       }
       assertEquals(number, server.lines.size());
       String other = "mg key v Oz Pc=read,d=400\r\n";
-      assertEquals("CLIENT_ERROR unknown or missing class", client.send(other).line());
+      assertEquals("CLIENT_ERROR unknown or missing class", client.send(other).readLine());
     }
   }
 
   /** With a server that never answers, each class is answered by its own deadline. */
   @ParameterizedTest
   @MethodSource("sites")
-  void everyClassIsAnsweredByItsDeadline(Path file) throws Exception {
+  void answersEveryClassByItsDeadline(Path file) throws Exception {
     TomlParseResult site = Toml.parse(file);
     List<Peers.Client> clients = new ArrayList<>();
     try (Peers.Server server = new Peers.Server(line -> null);
@@ -171,7 +171,7 @@
         clients.add(new Peers.Client(address).send(request(type, "i" + clients.size())));
       }
       for (Peers.Client client : clients) {
-        String answer = client.line();
+        String answer = client.readLine();
         assertTrue(answer != null && answer.startsWith("SERVER_ERROR "), answer);
       }
       Peers.await("no request is open", () -> node.openRequests() == 0);
@@ -183,13 +183,13 @@
       }
     } finally {
       for (Peers.Client client : clients) {
-        client.leave();
+        client.disconnect();
       }
     }
   }
 
   @Test
-  void thereAreTwoThatDiffer() throws IOException {
+  void sitesDifferInDiscoveryMode() throws IOException {
     List<Path> sites = sites();
     assertEquals(2, sites.size());
     List<String> modes = new ArrayList<>();
--- a/src/test/java/beamspread/node/DiscoveryClientTest.java
+++ b/src/test/java/beamspread/node/DiscoveryClientTest.java
@@ -81,7 +81,7 @@
   @Test
   void aPushedListIsFollowedOnceASocketCanBeOpened() throws Exception {
     try (Peers.Server discovery =
-        new Peers.Server(line -> line.startsWith("GET ") ? Peers.WATCH : null)) {
+        new Peers.Server(line -> line.startsWith("GET ") ? Peers.WATCH_RESPONSE_HEAD : null)) {
       DiscoveryClient client = client(discovery, false);
       loop.execute(client::follow);
       Peers.await("a watch", () -> followed(discovery));
@@ -93,7 +93,7 @@
   @Test
   void eachCallThatWasAskedForIsToldAsFailed() throws Exception {
     try (Peers.Server discovery =
-        new Peers.Server(line -> line.startsWith("GET ") ? Peers.WATCH : null)) {
+        new Peers.Server(line -> line.startsWith("GET ") ? Peers.WATCH_RESPONSE_HEAD : null)) {
       DiscoveryClient client = client(discovery, true);
       for (int i = 1; i <= FAILURES; i++) {
         int asked = i;
@@ -113,16 +113,16 @@
   void aWatchThatEndsWithinAChangeConfirmsNothing(String rest, int confirmations) throws Exception {
     failures.set(0);
     try (Peers.Server discovery =
-        new Peers.Server(line -> line.startsWith("GET ") ? Peers.WATCH : null)) {
+        new Peers.Server(line -> line.startsWith("GET ") ? Peers.WATCH_RESPONSE_HEAD : null)) {
       DiscoveryClient client = client(discovery, true);
       loop.execute(client::follow);
       Peers.await("a watch", () -> followed(discovery));
-      discovery.send(0, Peers.chunk(Peers.list(2) + "\n"));
+      discovery.send(0, Peers.chunk(Peers.listJson(2) + "\n"));
       Peers.await("its list", () -> told.contains("list"));
       if (!rest.isEmpty()) {
         discovery.send(0, Peers.chunk(rest));
       }
-      discovery.end(0, false);
+      discovery.closeConnectionOf(0, false);
       Peers.await("its end", () -> told.stream().anyMatch(text -> text.startsWith("failed")));
       assertThat(seen).filteredOn(ListEvidence.CONFIRMED::equals).hasSize(confirmations);
       loop.submit(client::stop).sync();
--- a/src/test/java/beamspread/node/DiscoveryPaceTest.java
+++ b/src/test/java/beamspread/node/DiscoveryPaceTest.java
@@ -32,7 +32,7 @@
             Settings.Spread.USUAL);
     String empty = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
     try (Peers.Server down = new Peers.Server(line -> line.startsWith("GET ") ? empty : null)) {
-      Node node = Peers.node(blank, down);
+      Node node = Peers.unstartedNode(blank, down);
       try {
         long began = System.nanoTime();
         node.start();
--- a/src/test/java/beamspread/node/EndingsTest.java
+++ b/src/test/java/beamspread/node/EndingsTest.java
@@ -52,7 +52,10 @@
     try (Peers.Server server = new Peers.Server(line -> null);
         Peers.Rig rig =
             new Peers.Rig(
-                settings, Peers.pool(settings, 256), new Peers.Server(line -> null), server);
+                settings,
+                Peers.poolSettings(settings, 256),
+                new Peers.Server(line -> null),
+                server);
         Peers.Client before = rig.client();
         Peers.Client after = rig.client()) {
       before.send("mg a v O1 Pc=read,d=30000\r\n");
@@ -62,8 +65,8 @@
       Peers.await("the drain waits", () -> drain.getState() == Thread.State.TIMED_WAITING);
       rig.node.loop().submit(() -> {}).sync();
       after.send("mg b v O2 Pc=read,d=30000\r\n");
-      assertEquals("SERVER_ERROR failed", before.line());
-      String late = after.line();
+      assertEquals("SERVER_ERROR failed", before.readLine());
+      String late = after.readLine();
       assertNotNull(late, "no answer");
       assertTrue(late.startsWith("SERVER_ERROR"), late);
       drain.join();
@@ -76,7 +79,7 @@
   void aNodeThatDoesNotListenYetEndsAtOnce() throws Exception {
     Settings settings = settings(1, read(10));
     try (Peers.Server discovery = new Peers.Server(line -> null)) {
-      Node node = Peers.node(settings, discovery);
+      Node node = Peers.unstartedNode(settings, discovery);
       try {
         Thread drain = new Thread(node::drain);
         drain.start();
@@ -105,15 +108,15 @@
       long first = System.nanoTime();
       reader.send("mg b v O2 Pc=read,d=20000\r\n");
       Peers.await("the read waits behind it", () -> rig.node.openRequests() == 2);
-      server.breakOne(server.lines.get(0));
+      server.closeConnectionOf(server.lines.get(0));
       Peers.await("the read goes first", () -> outOf(server, "2") == 1);
       assertTrue(System.nanoTime() - first < 1_100_000_000L, "slower than the window");
       Peers.await("the window is over", () -> System.nanoTime() - first > 1_600_000_000L);
       String read = server.lines.get(1);
-      server.script = Peers::good;
-      server.send(read, Peers.good(read));
-      assertEquals("VA 5 O2", reader.line());
-      assertEquals("SERVER_ERROR busy", writer.line());
+      server.script = Peers::successReply;
+      server.send(read, Peers.successReply(read));
+      assertEquals("VA 5 O2", reader.readLine());
+      assertEquals("SERVER_ERROR busy", writer.readLine());
       assertEquals(1, outOf(server, "1"), "carried out twice");
     }
   }
@@ -122,9 +125,9 @@
   @Test
   void nothingThatWaitedIsSentToAServerThatDrains() throws Exception {
     try (Peers.Server drains = new Peers.Server(line -> null);
-        Peers.Server stays = new Peers.Server(Peers::good);
+        Peers.Server stays = new Peers.Server(Peers::successReply);
         Peers.Server discovery =
-            new Peers.Server(line -> line.startsWith("GET ") ? Peers.WATCH : null);
+            new Peers.Server(line -> line.startsWith("GET ") ? Peers.WATCH_RESPONSE_HEAD : null);
         Peers.Rig rig = new Peers.Rig(settings(1, read(20)), ONE, discovery, drains);
         Peers.Client first = rig.client();
         Peers.Client second = rig.client()) {
@@ -133,13 +136,13 @@
       second.send("mg b v O2 Pc=read,d=20000\r\n");
       Peers.await("the second waits", () -> rig.node.openRequests() == 2);
       Peers.await("a watch", () -> !discovery.lines.isEmpty());
-      String list = Peers.list(2, drains, stays).replaceFirst("active", "leaving");
+      String list = Peers.listJson(2, drains, stays).replaceFirst("active", "leaving");
       discovery.send(0, Peers.chunk(list + "\n"));
       // At once, not when the connection falls free.
-      assertEquals("VA 5 O2", second.line());
+      assertEquals("VA 5 O2", second.readLine());
       assertEquals(1, outOf(stays, "2"));
-      drains.send(drains.lines.get(0), Peers.good(drains.lines.get(0)));
-      assertEquals("VA 5 O1", first.line());
+      drains.send(drains.lines.get(0), Peers.successReply(drains.lines.get(0)));
+      assertEquals("VA 5 O1", first.readLine());
       assertEquals(0, outOf(drains, "2"));
     }
   }
@@ -157,9 +160,9 @@
       reader.send("mg a v O1 Pc=read,d=20000\r\n");
       Peers.await("the read goes out", () -> outOf(server, "1") == 1);
       writer.send("ms b 5 O2 Pc=put,d=1000\r\nworld\r\n");
-      assertEquals("SERVER_ERROR busy", writer.line());
-      server.send(server.lines.get(0), Peers.good(server.lines.get(0)));
-      assertEquals("VA 5 O1", reader.line());
+      assertEquals("SERVER_ERROR busy", writer.readLine());
+      server.send(server.lines.get(0), Peers.successReply(server.lines.get(0)));
+      assertEquals("VA 5 O1", reader.readLine());
       assertEquals(0, outOf(server, "2"));
     }
   }
@@ -174,7 +177,7 @@
                 settings(0.3, read(20), put), ONE, new Peers.Server(line -> null), server);
         Peers.Client writer = rig.client()) {
       writer.send("ms b 5 O2 Pc=put,d=1000\r\nworld\r\n");
-      assertEquals("SERVER_ERROR failed", writer.line());
+      assertEquals("SERVER_ERROR failed", writer.readLine());
       assertEquals(1, outOf(server, "2"));
     }
   }
@@ -186,7 +189,10 @@
     try (Peers.Server server = new Peers.Server(line -> null);
         Peers.Rig rig =
             new Peers.Rig(
-                settings, Peers.pool(settings, 256), new Peers.Server(line -> null), server);
+                settings,
+                Peers.poolSettings(settings, 256),
+                new Peers.Server(line -> null),
+                server);
         Peers.Client client = rig.client()) {
       client.send("mg a v O1 Pc=read,d=10000\r\n");
       Peers.await("the first goes out", () -> outOf(server, "1") == 1);
@@ -195,13 +201,13 @@
       client.send("mg b v O2 Pc=read,d=1500\r\n");
       Peers.await("it goes out while the first is open", () -> outOf(server, "2") == 1);
       for (String line : List.copyOf(server.lines)) {
-        server.send(line, Peers.good(line));
+        server.send(line, Peers.successReply(line));
       }
-      assertEquals("VA 5 O1", client.line());
-      assertEquals("hello", client.line());
-      assertEquals("VA 5 O2", client.line());
-      assertEquals("hello", client.line());
-      assertNull(client.line());
+      assertEquals("VA 5 O1", client.readLine());
+      assertEquals("hello", client.readLine());
+      assertEquals("VA 5 O2", client.readLine());
+      assertEquals("hello", client.readLine());
+      assertNull(client.readLine());
       drain.join();
     }
   }
--- a/src/test/java/beamspread/node/Hold.java
+++ b/src/test/java/beamspread/node/EventLoopHold.java
@@ -17,14 +17,14 @@
  * timers that are due within the given time have become due: they run next, before the sockets are
  * read again. Data sent meanwhile is in the sockets when those timers run.
  */
-final class Hold implements AutoCloseable {
-  private final CountDownLatch held = new CountDownLatch(1);
+final class EventLoopHold implements AutoCloseable {
+  private final CountDownLatch released = new CountDownLatch(1);
   private final ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
   private final Socket peer;
   private final Channel channel;
 
-  Hold(Node node, long nanos) throws IOException, InterruptedException {
-    CountDownLatch begun = new CountDownLatch(1);
+  EventLoopHold(Node node, long nanos) throws IOException, InterruptedException {
+    CountDownLatch blocked = new CountDownLatch(1);
     channel =
         new Bootstrap()
             .group(node.loop())
@@ -35,8 +35,8 @@
                   public void channelRead(ChannelHandlerContext ctx, Object message)
                       throws InterruptedException {
                     ReferenceCountUtil.release(message);
-                    begun.countDown();
-                    held.await();
+                    blocked.countDown();
+                    released.await();
                   }
                 })
             .connect(listener.getLocalSocketAddress())
@@ -44,15 +44,15 @@
             .channel();
     peer = listener.accept();
     peer.getOutputStream().write(1);
-    begun.await();
-    long until = System.nanoTime() + nanos;
-    while (System.nanoTime() - until < 0) {
+    blocked.await();
+    long deadline = System.nanoTime() + nanos;
+    while (System.nanoTime() - deadline < 0) {
       Thread.sleep(10);
     }
   }
 
   void release() {
-    held.countDown();
+    released.countDown();
   }
 
   @Override
--- a/src/test/java/beamspread/node/TroubledServersTest.java
+++ b/src/test/java/beamspread/node/FaultyServersTest.java
@@ -17,8 +17,8 @@
 
 /** Cache servers that respond, but with faults that must not affect the others. */
 @ExtendWith(LeakCheck.class)
-class TroubledServersTest {
-  private static final ClientConnections.Limits CALM = ClientConnections.Limits.usual(150);
+class FaultyServersTest {
+  private static final ClientConnections.Limits CLIENT_LIMITS = ClientConnections.Limits.usual(150);
 
   private static boolean reached(String id, Peers.Server... servers) {
     return Stream.of(servers)
@@ -26,12 +26,12 @@
   }
 
   @Test
-  void oneThatTurnsFetchesAwayShutsNoneOffElsewhere() throws Exception {
+  void refusingServerDoesNotBlockFetchesFromOthers() throws Exception {
     try (Peers.Server bad = new Peers.Server(line -> "SERVER_ERROR busy\r\n");
         Peers.Server silent = new Peers.Server(line -> null);
         Peers.Server silentToo = new Peers.Server(line -> null);
         Peers.Server silentAsWell = new Peers.Server(line -> null);
-        Peers.Rig rig = new Peers.Rig(CALM, 512, bad, silent, silentToo, silentAsWell)) {
+        Peers.Rig rig = new Peers.Rig(CLIENT_LIMITS, 512, bad, silent, silentToo, silentAsWell)) {
       List<Peers.Client> clients = new ArrayList<>();
       try {
         int first = 0;
@@ -60,57 +60,58 @@
   }
 
   @Test
-  void whatSomeTurnAwayIsServedByTheOthers() throws Exception {
+  void retriesRefusedReadsOnOtherServers() throws Exception {
     AtomicInteger reads = new AtomicInteger();
     Function<String, String> half =
-        line -> reads.getAndIncrement() % 2 == 0 ? "SERVER_ERROR busy\r\n" : Peers.good(line);
+        line ->
+            reads.getAndIncrement() % 2 == 0 ? "SERVER_ERROR busy\r\n" : Peers.successReply(line);
     try (Peers.Server bad = new Peers.Server(half);
         Peers.Server badToo = new Peers.Server(half);
-        Peers.Server good = new Peers.Server(Peers::good);
-        Peers.Server goodToo = new Peers.Server(Peers::good);
-        Peers.Rig rig = new Peers.Rig(CALM, bad, badToo, good, goodToo);
+        Peers.Server good = new Peers.Server(Peers::successReply);
+        Peers.Server goodToo = new Peers.Server(Peers::successReply);
+        Peers.Rig rig = new Peers.Rig(CLIENT_LIMITS, bad, badToo, good, goodToo);
         Peers.Client client = rig.client()) {
       // More retries than the token bucket for failed attempts would allow.
       for (int i = 0; i < 1000 && reads.get() < 200; i++) {
-        assertEquals("VA 5 O" + i, client.read("" + i).line());
-        client.line();
+        assertEquals("VA 5 O" + i, client.read("" + i).readLine());
+        client.readLine();
       }
       assertTrue(reads.get() >= 200);
     }
   }
 
   @Test
-  void oneRefusedConnectionIsNoLimitForLong() throws Exception {
+  void recoversFromRefusedConnection() throws Exception {
     try (Peers.Server server =
             new Peers.Server(
                 line -> {
-                  pause();
-                  return Peers.good(line);
+                  delay();
+                  return Peers.successReply(line);
                 });
-        Peers.Rig rig = new Peers.Rig(CALM, server);
+        Peers.Rig rig = new Peers.Rig(CLIENT_LIMITS, server);
         Peers.Client one = rig.client();
         Peers.Client other = rig.client()) {
-      assertEquals("VA 5 O1", one.read("1").line());
-      one.line();
-      server.refuse();
-      both(one, other, "refused");
+      assertEquals("VA 5 O1", one.read("1").readLine());
+      one.readLine();
+      server.stopListening();
+      readOnBoth(one, other, "refused");
       Peers.await("one connection is left", () -> server.connections.size() == 1);
-      server.listenAgain();
+      server.resumeListening();
       int[] round = {0};
       Peers.await(
           "a second connection is opened",
           () -> {
-            both(one, other, "again" + round[0]++);
+            readOnBoth(one, other, "again" + round[0]++);
             return server.connections.size() > 1;
           });
     }
   }
 
   @Test
-  void connectionsThatAreGivenUpCountAmongThoseOfAServer() throws Exception {
+  void abandonedConnectionsCountTowardsServerLimit() throws Exception {
     List<Peers.Client> clients = new ArrayList<>();
     try (Peers.Server silent = new Peers.Server(line -> null);
-        Peers.Rig rig = new Peers.Rig(CALM, silent)) {
+        Peers.Rig rig = new Peers.Rig(CLIENT_LIMITS, silent)) {
       for (int i = 0; i < 12; i++) {
         clients.add(rig.client().read("held" + i));
       }
@@ -119,7 +120,7 @@
         clients.add(write(rig, "short" + i, 100));
       }
       for (Peers.Client client : clients.subList(12, 20)) {
-        assertEquals("SERVER_ERROR failed", client.line());
+        assertEquals("SERVER_ERROR failed", client.readLine());
       }
       long began = System.nanoTime();
       for (int i = 0; i < 12; i++) {
@@ -143,13 +144,13 @@
         .send("ms key-" + id + " 5 O" + id + " Pc=put,d=" + millis + "\r\nworld\r\n");
   }
 
-  private static void both(Peers.Client one, Peers.Client other, String id) {
+  private static void readOnBoth(Peers.Client one, Peers.Client other, String id) {
     try {
       one.read(id + "a");
       other.read(id + "b");
       for (Peers.Client client : List.of(one, other)) {
-        assertTrue(client.line().startsWith("VA 5 O" + id));
-        client.line();
+        assertTrue(client.readLine().startsWith("VA 5 O" + id));
+        client.readLine();
       }
     } catch (IOException e) {
       throw new AssertionError(e);
@@ -157,7 +158,7 @@
   }
 
   /** Long enough for another request to arrive meanwhile; nothing depends on the length. */
-  private static void pause() {
+  private static void delay() {
     try {
       Thread.sleep(20);
     } catch (InterruptedException e) {
@@ -166,27 +167,27 @@
   }
 
   @Test
-  void aReadWhoseConnectionBreaksGoesToTheSameCacheAgain() throws Exception {
+  void retriesReadOnSameServerAfterConnectionLoss() throws Exception {
     List<Peers.Server> servers = new ArrayList<>();
     for (int i = 0; i < 8; i++) {
-      servers.add(new Peers.Server(Peers::good));
+      servers.add(new Peers.Server(Peers::successReply));
     }
-    try (Peers.Rig rig = new Peers.Rig(CALM, servers.toArray(new Peers.Server[0]));
+    try (Peers.Rig rig = new Peers.Rig(CLIENT_LIMITS, servers.toArray(new Peers.Server[0]));
         Peers.Client client = rig.client()) {
-      client.read("1").line();
-      client.line();
+      client.read("1").readLine();
+      client.readLine();
       Peers.Server home = servers.stream().filter(s -> !s.lines.isEmpty()).findAny().orElseThrow();
       AtomicBoolean broken = new AtomicBoolean();
       home.script =
           line -> {
             if (broken.compareAndSet(false, true)) {
-              home.breakConnections();
+              home.closeConnections();
               return null;
             }
-            return Peers.good(line);
+            return Peers.successReply(line);
           };
       client.send("mg key-1 v O2 Pc=read,d=5000\r\n");
-      assertEquals("VA 5 O2", client.line());
+      assertEquals("VA 5 O2", client.readLine());
       assertTrue(broken.get());
       assertEquals(3, home.lines.size());
     } finally {
--- a/src/test/java/beamspread/node/BadClientsTest.java
+++ b/src/test/java/beamspread/node/InvalidClientsTest.java
@@ -15,12 +15,12 @@
 
 /** Clients that send invalid, incomplete or excessive input, or none at all. */
 @ExtendWith(LeakCheck.class)
-class BadClientsTest {
-  private static final long SHORT = 200_000_000L;
-  private static final long LONG = 60_000_000_000L;
+class InvalidClientsTest {
+  private static final long SHORT_NANOS = 200_000_000L;
+  private static final long LONG_NANOS = 60_000_000_000L;
 
   private static ClientConnections.Limits limits(int connections, long command, long idle) {
-    return new ClientConnections.Limits(connections, command, idle, idle, LONG, LONG);
+    return new ClientConnections.Limits(connections, command, idle, idle, LONG_NANOS, LONG_NANOS);
   }
 
   @ParameterizedTest
@@ -38,42 +38,43 @@
         "mg k\u00e9y v O1 Pc=read,d=500",
         "ms key 1 O1 Pc=keyed,d=500\r\nx",
       })
-  void getAnErrorAndReachNoServer(String command) throws Exception {
-    try (Peers.Server server = new Peers.Server(Peers::good);
-        Peers.Rig rig = new Peers.Rig(limits(9, LONG, LONG), server);
+  void rejectsInvalidCommandWithoutSendingIt(String command) throws Exception {
+    try (Peers.Server server = new Peers.Server(Peers::successReply);
+        Peers.Rig rig = new Peers.Rig(limits(9, LONG_NANOS, LONG_NANOS), server);
         Peers.Client client = rig.client()) {
-      String error = client.send(command + "\r\n").line();
+      String error = client.send(command + "\r\n").readLine();
       assertTrue(error.startsWith("CLIENT_ERROR "), error);
-      assertEquals("VA 5 O2", client.read("2").line());
+      assertEquals("VA 5 O2", client.read("2").readLine());
       assertEquals(1, server.lines.size(), server.lines::toString);
     }
   }
 
   @Test
-  void areToldWhyAlthoughTheyGoOnSending() throws Exception {
-    try (Peers.Rig rig = new Peers.Rig(limits(9, LONG, LONG));
+  void reportsErrorWhileClientKeepsSending() throws Exception {
+    try (Peers.Rig rig = new Peers.Rig(limits(9, LONG_NANOS, LONG_NANOS));
         Peers.Client client = rig.client()) {
       client.send("ms key 60000000 O1 Pc=put,d=500\r\n");
       client.send("x".repeat(200_000));
-      assertEquals("CLIENT_ERROR bad data length", client.line());
-      assertNull(client.line());
+      assertEquals("CLIENT_ERROR bad data length", client.readLine());
+      assertNull(client.readLine());
     }
   }
 
   @Test
-  void whoAskOnceAndKeepTheirConnectionLeaveRoom() throws Exception {
+  void closesLongestIdleConnectionNearLimit() throws Exception {
     ClientConnections.Limits limits =
-        new ClientConnections.Limits(9, LONG, LONG, SHORT, LONG, LONG);
+        new ClientConnections.Limits(
+            9, LONG_NANOS, LONG_NANOS, SHORT_NANOS, LONG_NANOS, LONG_NANOS);
     List<Peers.Client> clients = new ArrayList<>();
-    try (Peers.Server server = new Peers.Server(Peers::good);
+    try (Peers.Server server = new Peers.Server(Peers::successReply);
         Peers.Rig rig = new Peers.Rig(limits, server)) {
       for (int i = 0; i < 9; i++) {
         clients.add(rig.client());
-        assertEquals("VA 5 O" + i, clients.get(i).read("" + i).line());
-        clients.get(i).line();
+        assertEquals("VA 5 O" + i, clients.get(i).read("" + i).readLine());
+        clients.get(i).readLine();
       }
       // The connection that has been idle longest is closed first, well before its idle timeout.
-      assertNull(clients.get(0).line());
+      assertNull(clients.get(0).readLine());
     } finally {
       for (Peers.Client client : clients) {
         client.close();
@@ -83,13 +84,14 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"", "mg key v O1 Pc=read,d=2000\r\n"})
-  void areHeldUpOnceTheyAreTurnedAway(String owed) throws Exception {
+  void stopsReadingFromRejectedClient(String pendingCommand) throws Exception {
     ClientConnections.Limits limits =
-        new ClientConnections.Limits(9, LONG, LONG, LONG, LONG, SHORT);
+        new ClientConnections.Limits(
+            9, LONG_NANOS, LONG_NANOS, LONG_NANOS, LONG_NANOS, SHORT_NANOS);
     try (Peers.Server server = new Peers.Server(line -> null);
         Peers.Rig rig = new Peers.Rig(limits, server);
         Peers.Client client = rig.client()) {
-      client.send(owed + "\n");
+      client.send(pendingCommand + "\n");
       int written = 0;
       try {
         for (; written < 1000; written++) {
@@ -103,47 +105,47 @@
   }
 
   @Test
-  void halfACommandEndsInAnError() throws Exception {
-    try (Peers.Rig rig = new Peers.Rig(limits(9, SHORT, LONG));
+  void incompleteCommandTimesOutWithError() throws Exception {
+    try (Peers.Rig rig = new Peers.Rig(limits(9, SHORT_NANOS, LONG_NANOS));
         Peers.Client line = rig.client();
         Peers.Client value = rig.client()) {
       line.send("mg key v O1 Pc=re");
       value.send("ms key 100 O1 Pc=put,d=500\r\nworld");
-      assertEquals("CLIENT_ERROR command not finished", line.line());
-      assertEquals("CLIENT_ERROR command not finished", value.line());
-      assertNull(line.line());
-      assertNull(value.line());
+      assertEquals("CLIENT_ERROR command not finished", line.readLine());
+      assertEquals("CLIENT_ERROR command not finished", value.readLine());
+      assertNull(line.readLine());
+      assertNull(value.readLine());
     }
   }
 
   @Test
-  void silenceEndsInAClose() throws Exception {
-    try (Peers.Rig rig = new Peers.Rig(limits(9, SHORT, LONG));
+  void closesSilentConnection() throws Exception {
+    try (Peers.Rig rig = new Peers.Rig(limits(9, SHORT_NANOS, LONG_NANOS));
         Peers.Client client = rig.client()) {
-      assertNull(client.line());
+      assertNull(client.readLine());
     }
   }
 
   @Test
-  void anIdleConnectionIsClosed() throws Exception {
-    try (Peers.Rig rig = new Peers.Rig(limits(9, LONG, SHORT));
+  void closesIdleConnection() throws Exception {
+    try (Peers.Rig rig = new Peers.Rig(limits(9, LONG_NANOS, SHORT_NANOS));
         Peers.Client client = rig.client()) {
-      assertEquals("MN", client.send("mn\r\n").line());
-      assertNull(client.line());
+      assertEquals("MN", client.send("mn\r\n").readLine());
+      assertNull(client.readLine());
     }
   }
 
   @Test
-  void silentOnesGiveWay() throws Exception {
+  void silentConnectionsMakeRoomForNewOnes() throws Exception {
     List<Peers.Client> silent = new ArrayList<>();
-    try (Peers.Server server = new Peers.Server(Peers::good);
-        Peers.Rig rig = new Peers.Rig(limits(4, LONG, LONG), server)) {
+    try (Peers.Server server = new Peers.Server(Peers::successReply);
+        Peers.Rig rig = new Peers.Rig(limits(4, LONG_NANOS, LONG_NANOS), server)) {
       for (int i = 0; i < 40; i++) {
         silent.add(rig.client());
       }
-      assertNull(silent.get(0).line());
+      assertNull(silent.get(0).readLine());
       try (Peers.Client client = rig.client()) {
-        assertEquals("VA 5 O1", client.read("1").line());
+        assertEquals("VA 5 O1", client.read("1").readLine());
       }
     } finally {
       for (Peers.Client client : silent) {
@@ -153,25 +155,29 @@
   }
 
   @Test
-  void openRequestsNeverGiveWay() throws Exception {
+  void keepsConnectionWithOpenRequestAtLimit() throws Exception {
     try (Peers.Server server = new Peers.Server(line -> null);
-        Peers.Rig rig = new Peers.Rig(limits(1, LONG, LONG), server);
+        Peers.Rig rig = new Peers.Rig(limits(1, LONG_NANOS, LONG_NANOS), server);
         Peers.Client first = rig.client()) {
       first.read("1");
       Peers.await("the request is sent", () -> server.lines.size() == 1);
       try (Peers.Client second = rig.client()) {
-        assertEquals("SERVER_ERROR busy", second.line());
-        assertNull(second.line());
+        assertEquals("SERVER_ERROR busy", second.readLine());
+        assertNull(second.readLine());
       }
-      server.connections.get(0).getOutputStream().write(Peers.good(server.lines.get(0)).getBytes());
-      assertEquals("VA 5 O1", first.line());
+      server
+          .connections
+          .get(0)
+          .getOutputStream()
+          .write(Peers.successReply(server.lines.get(0)).getBytes());
+      assertEquals("VA 5 O1", first.readLine());
     }
   }
 
   @Test
-  void commandsBeyondAConnectionsShareAreRefused() throws Exception {
+  void refusesCommandsBeyondLimitPerConnection() throws Exception {
     try (Peers.Server server = new Peers.Server(line -> null);
-        Peers.Rig rig = new Peers.Rig(limits(9, LONG, LONG), server);
+        Peers.Rig rig = new Peers.Rig(limits(9, LONG_NANOS, LONG_NANOS), server);
         Peers.Client client = rig.client();
         Peers.Client other = rig.client()) {
       StringBuilder all = new StringBuilder();
@@ -181,37 +187,37 @@
       client.send(all.toString());
       int busy = 0;
       for (int i = 0; i < 100; i++) {
-        busy += client.line().equals("SERVER_ERROR busy") ? 1 : 0;
+        busy += client.readLine().equals("SERVER_ERROR busy") ? 1 : 0;
       }
       assertTrue(busy >= 68, busy + " refused");
-      server.script = Peers::good;
-      assertEquals("VA 5 Olast", other.read("last").line());
+      server.script = Peers::successReply;
+      assertEquals("VA 5 Olast", other.read("last").readLine());
     }
   }
 
   @Test
-  void nonsenseWithoutEndIsTurnedAway() throws Exception {
-    try (Peers.Rig rig = new Peers.Rig(limits(9, LONG, LONG));
+  void closesConnectionAfterRepeatedInvalidCommands() throws Exception {
+    try (Peers.Rig rig = new Peers.Rig(limits(9, LONG_NANOS, LONG_NANOS));
         Peers.Client client = rig.client()) {
       client.send("what\r\n".repeat(100));
       for (int i = 0; i < 16; i++) {
-        assertEquals("ERROR", client.line());
+        assertEquals("ERROR", client.readLine());
       }
-      assertNull(client.line());
+      assertNull(client.readLine());
     }
   }
 
   @Test
-  void pipelinedCommandsCutAnywhereAreNoHalfCommand() throws Exception {
-    try (Peers.Server server = new Peers.Server(Peers::good);
-        Peers.Rig rig = new Peers.Rig(limits(9, 3 * SHORT, LONG), server);
+  void pipelinedCommandsSplitAcrossReadsDoNotTimeOut() throws Exception {
+    try (Peers.Server server = new Peers.Server(Peers::successReply);
+        Peers.Rig rig = new Peers.Rig(limits(9, 3 * SHORT_NANOS, LONG_NANOS), server);
         Peers.Client client = rig.client()) {
       client.send("mg ");
-      long until = System.nanoTime() + 6 * SHORT;
+      long until = System.nanoTime() + 6 * SHORT_NANOS;
       for (int i = 0; System.nanoTime() - until < 0; i++) {
         client.send("key v O" + i + " Pc=read,d=5000\r\nmg ");
-        assertEquals("VA 5 O" + i, client.line());
-        assertEquals("hello", client.line());
+        assertEquals("VA 5 O" + i, client.readLine());
+        assertEquals("hello", client.readLine());
         Thread.sleep(5);
       }
     }
--- a/src/test/java/beamspread/node/LargeValuesTest.java
+++ b/src/test/java/beamspread/node/LargeValuesTest.java
@@ -34,17 +34,19 @@
   }
 
   private static String head(String line) {
-    return "VA " + VALUE.length() + " O" + Peers.flag(line, 'O') + " h1\r\n";
+    return "VA " + VALUE.length() + " O" + Peers.flagValue(line, 'O') + " h1\r\n";
   }
 
   /** Answers reads of keys that begin so with the whole value, others well. */
   private static String answer(String line) {
-    return line.startsWith("mg key-L") ? head(line) + VALUE + "\r\n" : Peers.good(line);
+    return line.startsWith("mg key-L") ? head(line) + VALUE + "\r\n" : Peers.successReply(line);
   }
 
   /** The first bytes of the value for such reads. */
   private static String part(String line, int bytes) {
-    return line.startsWith("mg key-L") ? head(line) + VALUE.substring(0, bytes) : Peers.good(line);
+    return line.startsWith("mg key-L")
+        ? head(line) + VALUE.substring(0, bytes)
+        : Peers.successReply(line);
   }
 
   private static String half(String line) {
@@ -53,15 +55,15 @@
 
   /** Told without the values themselves, which are too long to read. */
   private static void assertBytes(Peers.Client client, String expected) throws Exception {
-    byte[] bytes = client.bytes(expected.length());
+    byte[] bytes = client.readBytes(expected.length());
     assertThat(bytes.length).isEqualTo(expected.length());
     assertThat(new String(bytes, StandardCharsets.ISO_8859_1).equals(expected)).isTrue();
   }
 
   private static void assertValue(Peers.Client client, String id) throws Exception {
-    assertThat(client.line()).isEqualTo("VA " + VALUE.length() + " O" + id);
+    assertThat(client.readLine()).isEqualTo("VA " + VALUE.length() + " O" + id);
     assertBytes(client, VALUE);
-    assertThat(client.line()).isEmpty();
+    assertThat(client.readLine()).isEmpty();
   }
 
   @Test
@@ -72,8 +74,8 @@
       for (int i = 0; i < 5; i++) {
         client.read("L" + i).read("s" + i);
         assertValue(client, "L" + i);
-        assertThat(client.line()).isEqualTo("VA 5 Os" + i);
-        assertThat(client.line()).isEqualTo("hello");
+        assertThat(client.readLine()).isEqualTo("VA 5 Os" + i);
+        assertThat(client.readLine()).isEqualTo("hello");
       }
       assertThat(rig.node.relayCounts().passed()).isEqualTo(5);
       assertThat(server.lines).hasSize(10);
@@ -87,11 +89,11 @@
         Peers.Rig rig = new Peers.Rig(CALM, server);
         Peers.Client client = rig.client()) {
       client.read("L");
-      assertThat(client.line()).startsWith("VA ");
+      assertThat(client.readLine()).startsWith("VA ");
       assertBytes(client, VALUE.substring(0, 2 * MIB));
       server.send(server.lines.get(0), VALUE.substring(2 * MIB) + "\r\n");
       assertBytes(client, VALUE.substring(2 * MIB));
-      assertThat(client.line()).isEmpty();
+      assertThat(client.readLine()).isEmpty();
     }
   }
 
@@ -126,12 +128,12 @@
         Peers.Client client = rig.client();
         Peers.Client other = rig.client()) {
       client.read("L");
-      assertThat(client.line()).startsWith("VA ");
-      client.bytes(MIB);
-      server.breakConnections();
-      assertThat(client.bytes(VALUE.length()).length).isLessThan(VALUE.length());
+      assertThat(client.readLine()).startsWith("VA ");
+      client.readBytes(MIB);
+      server.closeConnections();
+      assertThat(client.readBytes(VALUE.length()).length).isLessThan(VALUE.length());
       assertThat(rig.node.relayCounts().brokenByServers()).isEqualTo(1);
-      assertThat(other.read("s").line()).isEqualTo("VA 5 Os");
+      assertThat(other.read("s").readLine()).isEqualTo("VA 5 Os");
     }
   }
 
@@ -142,9 +144,9 @@
         Peers.Rig rig = new Peers.Rig(CALM, server);
         Peers.Client client = rig.client()) {
       client.read("L");
-      assertThat(client.line()).startsWith("VA ");
+      assertThat(client.readLine()).startsWith("VA ");
       assertBytes(client, VALUE);
-      assertThat(client.bytes(2).length).isZero();
+      assertThat(client.readBytes(2).length).isZero();
     }
   }
 
@@ -154,8 +156,8 @@
         Peers.Rig rig = new Peers.Rig(CALM, IMPATIENT, server);
         Peers.Client client = rig.client()) {
       client.read("L");
-      assertThat(client.line()).startsWith("VA ");
-      assertThat(client.bytes(VALUE.length()).length).isEqualTo(2 * MIB);
+      assertThat(client.readLine()).startsWith("VA ");
+      assertThat(client.readBytes(VALUE.length()).length).isEqualTo(2 * MIB);
       Peers.await("its connection is closed", () -> server.connections.isEmpty());
     }
   }
@@ -169,8 +171,8 @@
       Peers.await("it is given up", () -> rig.node.relayCounts().slowClients() == 1);
       Peers.await("nothing is under way", () -> rig.node.relayCounts().open() == 0);
       assertThat(rig.node.relayCounts().held()).isZero();
-      assertThat(client.line()).startsWith("VA ");
-      assertThat(client.bytes(VALUE.length()).length).isLessThan(VALUE.length());
+      assertThat(client.readLine()).startsWith("VA ");
+      assertThat(client.readBytes(VALUE.length()).length).isLessThan(VALUE.length());
     }
   }
 
@@ -180,7 +182,7 @@
         Peers.Rig rig = new Peers.Rig(CALM, server)) {
       try (Peers.Client client = rig.client()) {
         client.read("L");
-        assertThat(client.line()).startsWith("VA ");
+        assertThat(client.readLine()).startsWith("VA ");
       }
       Peers.await("nothing is held", () -> rig.node.relayCounts().held() == 0);
       Peers.await("nothing is under way", () -> rig.node.relayCounts().open() == 0);
@@ -198,12 +200,12 @@
         Peers.Rig rig = new Peers.Rig(CALM, server);
         Peers.Client client = rig.client()) {
       client.write("1").read("L1").read("L2").read("2").write("3");
-      assertThat(client.line()).isEqualTo("HD O1 c77");
+      assertThat(client.readLine()).isEqualTo("HD O1 c77");
       assertValue(client, "L1");
       assertValue(client, "L2");
-      assertThat(client.line()).isEqualTo("VA 5 O2");
-      assertThat(client.line()).isEqualTo("hello");
-      assertThat(client.line()).isEqualTo("HD O3 c77");
+      assertThat(client.readLine()).isEqualTo("VA 5 O2");
+      assertThat(client.readLine()).isEqualTo("hello");
+      assertThat(client.readLine()).isEqualTo("HD O3 c77");
     }
   }
 
@@ -217,13 +219,13 @@
       Peers.await("the first is out", () -> server.lines.size() == 1);
       client.read("L");
       Peers.await("the value is on its way", () -> rig.node.relayCounts().open() == 1);
-      server.breakOne(server.lines.get(1));
+      server.closeConnectionOf(server.lines.get(1));
       Peers.await("its end is seen", () -> rig.node.relayCounts().brokenByServers() == 1);
       server.send(server.lines.get(0), "VA 5 Os1 h1\r\nhello\r\n");
-      assertThat(client.line()).isEqualTo("VA 5 Os1");
-      assertThat(client.line()).isEqualTo("hello");
-      assertThat(client.line()).isEqualTo("SERVER_ERROR failed");
-      assertThat(client.write("w").line()).isEqualTo("HD Ow c77");
+      assertThat(client.readLine()).isEqualTo("VA 5 Os1");
+      assertThat(client.readLine()).isEqualTo("hello");
+      assertThat(client.readLine()).isEqualTo("SERVER_ERROR failed");
+      assertThat(client.write("w").readLine()).isEqualTo("HD Ow c77");
     }
   }
 
@@ -233,13 +235,13 @@
         Peers.Rig rig = new Peers.Rig(CALM, server);
         Peers.Client client = rig.client()) {
       client.read("L");
-      assertThat(client.line()).startsWith("VA ");
+      assertThat(client.readLine()).startsWith("VA ");
       Thread drain = new Thread(rig.node::drain);
       drain.start();
       Peers.await("the restart has begun", rig.node::isDrainingClients);
       server.send(server.lines.get(0), VALUE.substring(2 * MIB) + "\r\n");
       assertBytes(client, VALUE);
-      assertThat(client.line()).isEmpty();
+      assertThat(client.readLine()).isEmpty();
       drain.join(20_000);
       assertThat(drain.isAlive()).isFalse();
     }
--- a/src/test/java/beamspread/node/LeavingClientsTest.java
+++ b/src/test/java/beamspread/node/LeavingClientsTest.java
@@ -30,7 +30,7 @@
 
   private static Peers.Rig rig(Settings settings, Peers.Server server) throws Exception {
     return new Peers.Rig(
-        settings, Peers.pool(settings, 256), new Peers.Server(line -> null), server);
+        settings, Peers.poolSettings(settings, 256), new Peers.Server(line -> null), server);
   }
 
   /** A read of the one key that all ask for here. */
@@ -87,7 +87,7 @@
 
   @Test
   void oneThatClosesInADrain() throws Exception {
-    inADrain(Peers.Client::leave);
+    inADrain(Peers.Client::disconnect);
   }
 
   @Test
@@ -100,7 +100,7 @@
     inADrain(
         client -> {
           client.send("mg other v O9 Pc=read,d=10000\r\n");
-          client.leave();
+          client.disconnect();
         });
   }
 
@@ -109,7 +109,7 @@
     inADrain(
         client -> {
           client.send("mg other v O9 Pc=re");
-          client.leave();
+          client.disconnect();
         });
   }
 
@@ -121,7 +121,7 @@
         Peers.Client then = rig.client()) {
       followers(rig, server, first, leaves, then);
       leaves.send("mn\r\n".repeat(hellos));
-      leaves.leave();
+      leaves.disconnect();
       onlyTheThird(server);
     }
   }
@@ -144,14 +144,14 @@
       client.send("mg a v O1 Pc=read,d=10000\r\n" + "mn\r\n".repeat(600));
       client.send("mg b v O2 Pc=read,d=10000\r\n");
       Peers.await("the first goes out", () -> server.lines.size() == 1);
-      server.script = Peers::good;
-      server.send(server.lines.get(0), Peers.good(server.lines.get(0)));
-      assertEquals("VA 5 O1", client.line());
-      assertEquals("hello", client.line());
+      server.script = Peers::successReply;
+      server.send(server.lines.get(0), Peers.successReply(server.lines.get(0)));
+      assertEquals("VA 5 O1", client.readLine());
+      assertEquals("hello", client.readLine());
       for (int i = 0; i < 600; i++) {
-        assertEquals("MN", client.line());
+        assertEquals("MN", client.readLine());
       }
-      assertEquals("VA 5 O2", client.line());
+      assertEquals("VA 5 O2", client.readLine());
     }
   }
 
@@ -161,10 +161,10 @@
    */
   private static void closesBehind(Peers.Rig rig, Peers.Client leaves, Leave setOff, Leave leave)
       throws Exception {
-    try (Hold hold = new Hold(rig.node, 0)) {
+    try (EventLoopHold hold = new EventLoopHold(rig.node, 0)) {
       setOff.leave(leaves);
       leave.leave(leaves);
-      leaves.awaitEnded();
+      leaves.awaitCloseReceived();
       hold.release();
     }
   }
@@ -176,14 +176,15 @@
         Peers.Client leaves = rig.client();
         Peers.Client then = rig.client()) {
       followers(rig, server, first, leaves, then);
-      closesBehind(rig, leaves, client -> server.send(0, Peers.good(server.lines.get(0))), leave);
+      closesBehind(
+          rig, leaves, client -> server.send(0, Peers.successReply(server.lines.get(0))), leave);
       onlyTheThird(server);
     }
   }
 
   @Test
   void aFollowerThatClosesWhileTheNodeStands() throws Exception {
-    followerCloses(Peers.Client::leave);
+    followerCloses(Peers.Client::disconnect);
   }
 
   @Test
@@ -196,7 +197,7 @@
     followerCloses(
         client -> {
           client.send("mg other v O9 Pc=read,d=10000\r\n");
-          client.leave();
+          client.disconnect();
         });
   }
 
@@ -208,7 +209,7 @@
         Peers.Rig rig =
             new Peers.Rig(
                 settings(true, true),
-                Peers.pool(settings(true, true), 256),
+                Peers.poolSettings(settings(true, true), 256),
                 new Peers.Server(line -> null),
                 server,
                 other);
@@ -218,12 +219,12 @@
       Peers.await("it goes out", () -> wentOut(server, "2") || wentOut(other, "2"));
       Peers.Server has = wentOut(server, "2") ? server : other;
       Peers.Server lacks = has == server ? other : server;
-      closesBehind(rig, leaves, client -> has.end(0, true), Peers.Client::leave);
+      closesBehind(rig, leaves, client -> has.closeConnectionOf(0, true), Peers.Client::disconnect);
       Peers.await("the close is seen", () -> rig.node.clientCount() == 1);
-      has.script = Peers::good;
-      lacks.script = Peers::good;
+      has.script = Peers::successReply;
+      lacks.script = Peers::successReply;
       then.send("mg a v O3 Pc=read,d=10000\r\n");
-      assertTrue(then.line().startsWith("VA 5 O3"));
+      assertTrue(then.readLine().startsWith("VA 5 O3"));
       assertFalse(wentOut(lacks, "2"), "tried again for a client that had left");
       assertEquals(1, has.lines.stream().filter(line -> line.contains(" O2 ")).count());
     }
@@ -245,17 +246,17 @@
       Peers.await("the second waits", () -> rig.node.openRequests() == 2);
       then.send("mg c v O3 Pc=read,d=10000\r\n");
       Peers.await("the third waits", () -> rig.node.openRequests() == 3);
-      Leave setOff = client -> server.send(0, Peers.good(server.lines.get(0)));
+      Leave setOff = client -> server.send(0, Peers.successReply(server.lines.get(0)));
       if (stands) {
-        closesBehind(rig, leaves, setOff, Peers.Client::leave);
+        closesBehind(rig, leaves, setOff, Peers.Client::disconnect);
       } else {
-        leaves.leave();
+        leaves.disconnect();
         Peers.await("the close is seen", () -> rig.node.clientCount() == 2);
         assertEquals(1, server.lines.size());
         setOff.leave(leaves);
       }
       onlyTheThird(server);
-      assertTrue(first.line().startsWith("VA 5 O1"));
+      assertTrue(first.readLine().startsWith("VA 5 O1"));
     }
   }
 
--- a/src/test/java/beamspread/node/ListEndingsTest.java
+++ b/src/test/java/beamspread/node/ListEndingsTest.java
@@ -28,7 +28,7 @@
   private static Peers.Rig rig(boolean asked, Peers.Server discovery, Peers.Server... servers)
       throws Exception {
     Settings settings = settings(asked);
-    return new Peers.Rig(settings, Peers.pool(settings, 256), discovery, servers);
+    return new Peers.Rig(settings, Peers.poolSettings(settings, 256), discovery, servers);
   }
 
   private static long calls(Peers.Server discovery, String begin) {
@@ -68,8 +68,8 @@
       for (int i = 0; i < 1000 && server.lines.size() == before; i++) {
         String id = Long.toString(System.nanoTime());
         client.read(id);
-        assertEquals("VA 5 O" + id, client.line());
-        assertEquals("hello", client.line());
+        assertEquals("VA 5 O" + id, client.readLine());
+        assertEquals("hello", client.readLine());
       }
     }
     assertTrue(server.lines.size() > before, "no request came to it");
@@ -82,8 +82,8 @@
       for (int i = 0; i < 200; i++) {
         String id = Long.toString(System.nanoTime());
         client.read(id);
-        assertEquals("VA 5 O" + id, client.line());
-        assertEquals("hello", client.line());
+        assertEquals("VA 5 O" + id, client.readLine());
+        assertEquals("hello", client.readLine());
       }
     }
     assertEquals(before, server.lines.size());
@@ -91,9 +91,9 @@
 
   @Test
   void anIndentedListCountsHoweverItIsCut() throws Exception {
-    try (Peers.Server first = new Peers.Server(Peers::good);
-        Peers.Server second = new Peers.Server(Peers::good);
-        Peers.Server discovery = new Peers.Server(answers(line -> Peers.WATCH));
+    try (Peers.Server first = new Peers.Server(Peers::successReply);
+        Peers.Server second = new Peers.Server(Peers::successReply);
+        Peers.Server discovery = new Peers.Server(answers(line -> Peers.WATCH_RESPONSE_HEAD));
         Peers.Rig rig = rig(false, discovery, first)) {
       Peers.await("a watch", () -> calls(discovery, FOLLOW) == 1);
       String indented =
@@ -120,9 +120,9 @@
 
   @Test
   void halfAListAtTheEndOfAWatchChangesNothing() throws Exception {
-    try (Peers.Server first = new Peers.Server(Peers::good);
-        Peers.Server second = new Peers.Server(Peers::good);
-        Peers.Server discovery = new Peers.Server(answers(line -> Peers.WATCH));
+    try (Peers.Server first = new Peers.Server(Peers::successReply);
+        Peers.Server second = new Peers.Server(Peers::successReply);
+        Peers.Server discovery = new Peers.Server(answers(line -> Peers.WATCH_RESPONSE_HEAD));
         Peers.Rig rig = rig(false, discovery, first)) {
       Peers.await("a watch", () -> calls(discovery, FOLLOW) == 1);
       String cut = list(2, true, line(second, "active"));
@@ -140,9 +140,9 @@
 
   @Test
   void aListThatBreaksOffIsNotTakenForOneThatGoesOn() throws Exception {
-    try (Peers.Server first = new Peers.Server(Peers::good);
-        Peers.Server second = new Peers.Server(Peers::good);
-        Peers.Server discovery = new Peers.Server(answers(line -> Peers.WATCH));
+    try (Peers.Server first = new Peers.Server(Peers::successReply);
+        Peers.Server second = new Peers.Server(Peers::successReply);
+        Peers.Server discovery = new Peers.Server(answers(line -> Peers.WATCH_RESPONSE_HEAD));
         Peers.Rig rig = rig(false, discovery, first)) {
       Peers.await("a watch", () -> calls(discovery, FOLLOW) == 1);
       int watch = call(discovery, FOLLOW, 0);
@@ -157,8 +157,8 @@
   /** The connections stay open and nothing more comes. */
   @Test
   void aSilentWatchIsOpenedAnewWithTimeToSpare() throws Exception {
-    try (Peers.Server first = new Peers.Server(Peers::good);
-        Peers.Server discovery = new Peers.Server(answers(line -> Peers.WATCH));
+    try (Peers.Server first = new Peers.Server(Peers::successReply);
+        Peers.Server discovery = new Peers.Server(answers(line -> Peers.WATCH_RESPONSE_HEAD));
         Peers.Rig rig = rig(false, discovery, first)) {
       Peers.await("a watch", () -> calls(discovery, FOLLOW) == 1);
       long silentSince = System.nanoTime();
@@ -176,7 +176,7 @@
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void aCallWithoutAnAnswerLeavesTimeForTwoMore(boolean asked) throws Exception {
-    try (Peers.Server first = new Peers.Server(Peers::good);
+    try (Peers.Server first = new Peers.Server(Peers::successReply);
         Peers.Server discovery = new Peers.Server(line -> null);
         Peers.Rig rig = rig(asked, discovery, first)) {
       Peers.await("a call", () -> calls(discovery, FOLLOW) == 1);
@@ -191,14 +191,14 @@
 
   @Test
   void aStandOfTheNodeIsNotTheSilenceOfDiscovery() throws Exception {
-    try (Peers.Server first = new Peers.Server(Peers::good);
-        Peers.Server second = new Peers.Server(Peers::good);
-        Peers.Server discovery = new Peers.Server(answers(line -> Peers.WATCH));
+    try (Peers.Server first = new Peers.Server(Peers::successReply);
+        Peers.Server second = new Peers.Server(Peers::successReply);
+        Peers.Server discovery = new Peers.Server(answers(line -> Peers.WATCH_RESPONSE_HEAD));
         Peers.Rig rig = rig(false, discovery, first)) {
       Peers.await("a watch", () -> calls(discovery, FOLLOW) == 1);
       int watch = call(discovery, FOLLOW, 0);
       discovery.send(watch, Peers.chunk("\n"));
-      try (Hold hold = new Hold(rig.node, 5_500_000_000L)) {
+      try (EventLoopHold hold = new EventLoopHold(rig.node, 5_500_000_000L)) {
         discovery.send(watch, Peers.chunk("\n"));
         hold.release();
       }
@@ -223,11 +223,12 @@
 
   @Test
   void aWholeListThatIsOlderThanWhatTheWatchToldIsAskedForAgain() throws Exception {
-    try (Peers.Server first = new Peers.Server(Peers::good);
-        Peers.Server second = new Peers.Server(Peers::good);
-        Peers.Server third = new Peers.Server(Peers::good);
+    try (Peers.Server first = new Peers.Server(Peers::successReply);
+        Peers.Server second = new Peers.Server(Peers::successReply);
+        Peers.Server third = new Peers.Server(Peers::successReply);
         Peers.Server discovery =
-            new Peers.Server(answers(line -> line.startsWith(READ) ? "" : Peers.WATCH));
+            new Peers.Server(
+                answers(line -> line.startsWith(READ) ? "" : Peers.WATCH_RESPONSE_HEAD));
         Peers.Rig rig = rig(false, discovery, first, second)) {
       int watch = changesForWhole(discovery, list(5, false, line(third, "active")));
       discovery.send(watch, Peers.chunk(list(7, false, line(second, "left")) + "\n"));
@@ -245,10 +246,11 @@
 
   @Test
   void aCallForTheWholeThatFailsIsNoFailureOfTheWatch() throws Exception {
-    try (Peers.Server first = new Peers.Server(Peers::good);
-        Peers.Server second = new Peers.Server(Peers::good);
+    try (Peers.Server first = new Peers.Server(Peers::successReply);
+        Peers.Server second = new Peers.Server(Peers::successReply);
         Peers.Server discovery =
-            new Peers.Server(answers(line -> line.startsWith(READ) ? "" : Peers.WATCH));
+            new Peers.Server(
+                answers(line -> line.startsWith(READ) ? "" : Peers.WATCH_RESPONSE_HEAD));
         Peers.Rig rig = rig(true, discovery, first)) {
       changesForWhole(discovery, list(5, false, line(second, "active")));
       discovery.send(call(discovery, READ, 0), "HTTP/1.1 503 no\r\nContent-Length: 0\r\n\r\n");
@@ -261,10 +263,11 @@
 
   @Test
   void aWholeListThatMakesNoSenseIsAskedForAgain() throws Exception {
-    try (Peers.Server first = new Peers.Server(Peers::good);
-        Peers.Server second = new Peers.Server(Peers::good);
+    try (Peers.Server first = new Peers.Server(Peers::successReply);
+        Peers.Server second = new Peers.Server(Peers::successReply);
         Peers.Server discovery =
-            new Peers.Server(answers(line -> line.startsWith(READ) ? "" : Peers.WATCH));
+            new Peers.Server(
+                answers(line -> line.startsWith(READ) ? "" : Peers.WATCH_RESPONSE_HEAD));
         Peers.Rig rig = rig(false, discovery, first)) {
       changesForWhole(discovery, list(5, false, line(second, "active")));
       discovery.send(call(discovery, READ, 0), whole("{\"version\":6,\"full\":true}"));
@@ -279,10 +282,11 @@
   /** Discovery has been restarted and counts from 1 again. */
   @Test
   void changesOfALowerVersionAreFollowedByACallForTheWhole() throws Exception {
-    try (Peers.Server first = new Peers.Server(Peers::good);
-        Peers.Server second = new Peers.Server(Peers::good);
+    try (Peers.Server first = new Peers.Server(Peers::successReply);
+        Peers.Server second = new Peers.Server(Peers::successReply);
         Peers.Server discovery =
-            new Peers.Server(answers(line -> line.startsWith(READ) ? "" : Peers.WATCH));
+            new Peers.Server(
+                answers(line -> line.startsWith(READ) ? "" : Peers.WATCH_RESPONSE_HEAD));
         Peers.Rig rig = rig(false, discovery, first)) {
       Peers.await("a watch", () -> calls(discovery, FOLLOW) == 1);
       int watch = call(discovery, FOLLOW, 0);
@@ -298,9 +302,9 @@
 
   @Test
   void aLineWhoseAddressCannotBeReadKeepsNothingElseBack() throws Exception {
-    try (Peers.Server first = new Peers.Server(Peers::good);
-        Peers.Server second = new Peers.Server(Peers::good);
-        Peers.Server discovery = new Peers.Server(answers(line -> Peers.WATCH));
+    try (Peers.Server first = new Peers.Server(Peers::successReply);
+        Peers.Server second = new Peers.Server(Peers::successReply);
+        Peers.Server discovery = new Peers.Server(answers(line -> Peers.WATCH_RESPONSE_HEAD));
         Peers.Rig rig = rig(false, discovery, first)) {
       Peers.await("a watch", () -> calls(discovery, FOLLOW) == 1);
       int watch = call(discovery, FOLLOW, 0);
--- a/src/test/java/beamspread/node/LogTest.java
+++ b/src/test/java/beamspread/node/LogTest.java
@@ -12,7 +12,7 @@
 
 /** The node's log lines. */
 class LogTest {
-  private static List<String> written(Log log, int lines) {
+  private static List<String> writeLines(Log log, int lines) {
     PrintStream before = System.err;
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     System.setErr(new PrintStream(bytes, true, StandardCharsets.UTF_8));
@@ -28,8 +28,8 @@
   }
 
   @Test
-  void asJsonEachLineIsOneObjectWithTheFieldsOfTheAgentsLog() throws WireException {
-    List<String> lines = written(new Log("n7", true), 1);
+  void writesOneJsonObjectPerLineWithAgentLogFields() throws WireException {
+    List<String> lines = writeLines(new Log("n7", true), 1);
     Message first = Message.parse(lines.get(0));
     assertThat(first.names())
         .containsExactlyInAnyOrder("time", "level", "logger", "instance", "message");
@@ -39,8 +39,8 @@
   }
 
   @Test
-  void theyAreBoundedInASecond() {
+  void limitsLinesPerSecond() {
     // Writing these lines spans a few seconds at most.
-    assertThat(written(new Log("n7", false), 5000)).hasSizeBetween(10, 200);
+    assertThat(writeLines(new Log("n7", false), 5000)).hasSizeBetween(10, 200);
   }
 }
--- a/src/test/java/beamspread/node/Calls.java
+++ b/src/test/java/beamspread/node/ManagementClient.java
@@ -8,7 +8,7 @@
 import java.nio.charset.StandardCharsets;
 
 /** A client for the operators' calls of a node. */
-final class Calls {
+final class ManagementClient {
   /**
    * An answer to a call.
    *
@@ -18,28 +18,28 @@
 
   private final InetSocketAddress address;
 
-  Calls(InetSocketAddress address) {
+  ManagementClient(InetSocketAddress address) {
     this.address = address;
   }
 
   /** Sends this text as it is, and reads to the end of the connection. */
-  Answer raw(String call) throws IOException, WireException {
+  Answer sendRaw(String request) throws IOException, WireException {
     try (Socket socket = new Socket()) {
       socket.connect(address, 20_000);
       socket.setSoTimeout(20_000);
-      socket.getOutputStream().write(call.getBytes(StandardCharsets.ISO_8859_1));
-      String all = new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-      if (all.isEmpty()) {
+      socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
+      String response = new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+      if (response.isEmpty()) {
         return new Answer(0, null);
       }
       return new Answer(
-          Integer.parseInt(all.split(" ")[1]),
-          Message.parse(all.substring(all.indexOf("\r\n\r\n") + 4)));
+          Integer.parseInt(response.split(" ")[1]),
+          Message.parse(response.substring(response.indexOf("\r\n\r\n") + 4)));
     }
   }
 
   Answer get(String path) throws IOException, WireException {
-    return raw("GET " + path + " HTTP/1.1\r\nHost: node\r\n\r\n");
+    return sendRaw("GET " + path + " HTTP/1.1\r\nHost: node\r\n\r\n");
   }
 
   Answer post(String path, String body) throws IOException, WireException {
@@ -47,7 +47,7 @@
   }
 
   Answer post(String path, String body, String headers) throws IOException, WireException {
-    return raw(
+    return sendRaw(
         "POST %s HTTP/1.1\r\nHost: node\r\nContent-Length: %d\r\n%s\r\n%s"
             .formatted(path, body.length(), headers, body));
   }
--- a/src/test/java/beamspread/node/NodeProcessTest.java
+++ b/src/test/java/beamspread/node/NodeProcessTest.java
@@ -37,11 +37,11 @@
   }
 
   private Process start() throws IOException, InterruptedException {
-    return listening(node.launch());
+    return awaitListening(node.launch());
   }
 
-  private Process listening(Process process) throws InterruptedException {
-    Peers.await("the node listens", () -> hello(process));
+  private Process awaitListening(Process process) throws InterruptedException {
+    Peers.await("the node listens", () -> answersNoOp(process));
     return process;
   }
 
@@ -57,7 +57,7 @@
     }
   }
 
-  private boolean hello(Process process) {
+  private boolean answersNoOp(Process process) {
     assertTrue(process.isAlive(), "the node has exited");
     try {
       String[] at = status().requiredText("listen").split(":");
@@ -66,7 +66,7 @@
       return false;
     }
     try (Peers.Client client = new Peers.Client(listen)) {
-      return "MN".equals(client.send("mn\r\n").line());
+      return "MN".equals(client.send("mn\r\n").readLine());
     } catch (IOException e) {
       return false;
     }
@@ -81,7 +81,7 @@
   }
 
   /** Returns whether the log reports a stall of at least this many milliseconds. */
-  private boolean loggedPauseOf(long millis) {
+  private boolean loggedStallOf(long millis) {
     try {
       return Files.readAllLines(node.log).stream()
           .filter(line -> line.contains("the event loop stood still for "))
@@ -92,14 +92,14 @@
     }
   }
 
-  private static boolean watched(Peers.Server discovery, String end) {
-    return discovery.lines.stream().anyMatch(line -> line.contains("follow=1" + end + " "));
+  private static boolean watched(Peers.Server discovery, String querySuffix) {
+    return discovery.lines.stream().anyMatch(line -> line.contains("follow=1" + querySuffix + " "));
   }
 
   @Test
-  void aReloadMovesToTheNewDiscoveryAndServesOn() throws Exception {
-    try (Peers.Server server = new Peers.Server(Peers::good);
-        Peers.Server other = new Peers.Server(Peers::good);
+  void reloadSwitchesDiscoveryAndKeepsServing() throws Exception {
+    try (Peers.Server server = new Peers.Server(Peers::successReply);
+        Peers.Server other = new Peers.Server(Peers::successReply);
         Peers.Server old = Peers.discovery(41, server);
         Peers.Server moved = Peers.discovery(7, other)) {
       configure(old, server);
@@ -128,8 +128,8 @@
             () -> {
               try {
                 String id = Long.toString(System.nanoTime());
-                assertEquals("VA 5 O" + id, client.read(id).line());
-                assertEquals("hello", client.line());
+                assertEquals("VA 5 O" + id, client.read(id).readLine());
+                assertEquals("hello", client.readLine());
                 return !other.lines.isEmpty();
               } catch (IOException e) {
                 throw new AssertionError(e);
@@ -143,12 +143,12 @@
   }
 
   @Test
-  void aNodeThatInheritsAnIgnoredHangupTakesANewConfigurationOver() throws Exception {
-    try (Peers.Server server = new Peers.Server(Peers::good);
+  void reloadsChangedFileWhenSighupIsIgnored() throws Exception {
+    try (Peers.Server server = new Peers.Server(Peers::successReply);
         Peers.Server old = Peers.discovery(41, server);
         Peers.Server moved = Peers.discovery(7, server)) {
       configure(old, server);
-      Process process = listening(node.launchIgnoringHangup());
+      Process process = awaitListening(node.launchIgnoringSighup());
       try {
         Peers.await("the old discovery is watched", () -> watched(old, "&since=40"));
         configure(moved, server);
@@ -163,32 +163,34 @@
   }
 
   @Test
-  void aStartWithoutFiguresIsRefusedWithTheirNames() throws Exception {
-    try (Peers.Server server = new Peers.Server(Peers::good);
+  void startFailsNamingMissingSettings() throws Exception {
+    try (Peers.Server server = new Peers.Server(Peers::successReply);
         Peers.Server discovery = Peers.discovery(41, server)) {
       configure(discovery, server);
-      String whole = Files.readString(config);
+      String validConfig = Files.readString(config);
       Files.writeString(
           config,
-          whole.replace("\"contract\"", "\"compact\"").replace("\"give-up\":2", "\"give-up\":0"));
+          validConfig
+              .replace("\"contract\"", "\"compact\"")
+              .replace("\"give-up\":2", "\"give-up\":0"));
       Process process = node.launch();
       assertTrue(process.waitFor(20, TimeUnit.SECONDS));
       assertEquals(2, process.exitValue());
-      String told = Files.readString(node.log);
+      String logText = Files.readString(node.log);
       for (String fault :
           List.of(
               "contract.ask-within is missing",
               "contract.overload-for is missing",
               "services[0].give-up must be above 0")) {
-        assertTrue(told.contains(fault), told);
+        assertTrue(logText.contains(fault), logText);
       }
       assertTrue(discovery.lines.isEmpty());
     }
   }
 
   @Test
-  void aStatusSocketLeftByAKilledNodeIsTakenOverAndOneInUseIsNot() throws Exception {
-    try (Peers.Server server = new Peers.Server(Peers::good);
+  void replacesStaleStatusSocketButNotOneInUse() throws Exception {
+    try (Peers.Server server = new Peers.Server(Peers::successReply);
         Peers.Server discovery = Peers.discovery(41, server)) {
       configure(discovery, server);
       start().destroyForcibly().waitFor();
@@ -207,28 +209,28 @@
   }
 
   @Test
-  void aBadFileChangesNothing() throws Exception {
-    try (Peers.Server server = new Peers.Server(Peers::good);
+  void invalidConfigurationChangesNothing() throws Exception {
+    try (Peers.Server server = new Peers.Server(Peers::successReply);
         Peers.Server discovery = Peers.discovery(41, server)) {
       configure(discovery, server);
       Process process = start();
       try (Peers.Client client = new Peers.Client(listen)) {
         Peers.await("discovery is watched", () -> watched(discovery, "&since=40"));
-        String whole = Files.readString(config);
-        Files.writeString(config, whole.substring(0, whole.length() / 2));
+        String validConfig = Files.readString(config);
+        Files.writeString(config, validConfig.substring(0, validConfig.length() / 2));
         signal(process, "HUP");
         Peers.await("the refusal is logged", () -> logged("the old configuration stays"));
         Peers.await(
             "the status counts the reading", () -> status(s -> s.number("readings", 0) == 2));
         assertEquals(1, status().number("generation", 0));
         assertEquals(config + ": not JSON", status().text("refusal", ""));
-        Files.writeString(config, whole.replace("\"drain-grace\":2,", ""));
+        Files.writeString(config, validConfig.replace("\"drain-grace\":2,", ""));
         signal(process, "HUP");
         Peers.await("the next file is refused", () -> status(s -> s.number("readings", 0) == 3));
         assertEquals(
             config + ": settings: contract.drain-grace is missing", status().text("refusal", ""));
         assertNotEquals(status().text("digest", ""), status().text("tried_digest", ""));
-        assertEquals("VA 5 O1", client.read("1").line());
+        assertEquals("VA 5 O1", client.read("1").readLine());
         assertEquals(1, discovery.connections.size());
         assertTrue(process.isAlive());
       } finally {
@@ -242,19 +244,19 @@
    * no open request that is due soon.
    */
   @Test
-  void aNodeThatHasStoodStillGivesUpEarlier() throws Exception {
+  void abandonsRequestsEarlierAfterStall() throws Exception {
     try (Peers.Server server = new Peers.Server(line -> null);
         Peers.Server discovery = Peers.discovery(41, server)) {
       configure(discovery, server);
       Process process = start();
       try (Peers.Client client = new Peers.Client(listen)) {
-        pause(process, 800);
+        stopFor(process, 800);
         // A start has shorter stalls of its own. What is sent before this stall is logged may count
         // as old as the stall.
-        Peers.await("the stall is logged", () -> loggedPauseOf(700));
+        Peers.await("the stall is logged", () -> loggedStallOf(700));
         long sent = System.nanoTime();
         client.send("mg a v O1 Pc=read,d=2000\r\n");
-        String answer = client.line();
+        String answer = client.readLine();
         long millis = (System.nanoTime() - sent) / 1_000_000;
         assertTrue(answer.startsWith("SERVER_ERROR"), answer);
         assertTrue(millis < 1_900, "abandoned after " + millis + " of 2000 ms");
@@ -265,7 +267,7 @@
     }
   }
 
-  private static void pause(Process process, long millis) throws Exception {
+  private static void stopFor(Process process, long millis) throws Exception {
     signal(process, "STOP").waitFor();
     Thread.sleep(millis);
     signal(process, "CONT").waitFor();
@@ -279,7 +281,7 @@
       Process process = start();
       try (Peers.Client client = new Peers.Client(listen);
           Peers.Client idle = new Peers.Client(listen)) {
-        assertEquals("MN", idle.send("mn\r\n").line());
+        assertEquals("MN", idle.send("mn\r\n").readLine());
         client.send("mg a v O1 Pc=read,d=2000\r\n");
         try {
           Peers.await("the request is sent", () -> server.lines.size() == 1);
@@ -299,18 +301,18 @@
           Peers.await("the late request is sent", () -> server.lines.size() == 2);
           Peers.await("the status reports draining", () -> status(s -> s.flag("draining")));
           assertEquals(2, status().number("open_requests", 0));
-          assertNull(idle.line());
-          server.script = Peers::good;
+          assertNull(idle.readLine());
+          server.script = Peers::successReply;
           for (var socket : server.connections) {
             for (String line : server.lines) {
-              socket.getOutputStream().write(Peers.good(line).getBytes());
+              socket.getOutputStream().write(Peers.successReply(line).getBytes());
             }
           }
-          String first = client.line();
-          String second = late.line();
+          String first = client.readLine();
+          String second = late.readLine();
           assertFalse(first == null || second == null, first + ", " + second);
-          client.line();
-          assertNull(client.line());
+          client.readLine();
+          assertNull(client.readLine());
         }
         assertTrue(process.waitFor(20, TimeUnit.SECONDS));
         assertFalse(Files.exists(folder.resolve("node.sock")));
--- a/src/test/java/beamspread/node/Peers.java
+++ b/src/test/java/beamspread/node/Peers.java
@@ -32,25 +32,25 @@
 
 /** Stand-ins for the peers of a node, on loopback sockets. */
 final class Peers {
-  private static final int PATIENCE_MILLIS = 20_000;
+  private static final int TIMEOUT_MILLIS = 20_000;
 
   /** The head of the response to a watch. */
-  static final String WATCH = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+  static final String WATCH_RESPONSE_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
   private Peers() {}
 
   /** Waits for a condition, for far longer than it should take. */
-  static void await(String what, BooleanSupplier condition) throws InterruptedException {
-    long until = System.nanoTime() + PATIENCE_MILLIS * 1_000_000L;
+  static void await(String description, BooleanSupplier condition) throws InterruptedException {
+    long deadline = System.nanoTime() + TIMEOUT_MILLIS * 1_000_000L;
     while (!condition.getAsBoolean()) {
-      if (System.nanoTime() - until > 0) {
-        throw new AssertionError("not within " + PATIENCE_MILLIS + " ms: " + what);
+      if (System.nanoTime() - deadline > 0) {
+        throw new AssertionError("not within " + TIMEOUT_MILLIS + " ms: " + description);
       }
       Thread.sleep(5);
     }
   }
 
-  static String flag(String command, char flag) {
+  static String flagValue(String command, char flag) {
     for (String word : command.split(" ")) {
       if (word.charAt(0) == flag && !word.equals(command.split(" ")[1])) {
         return word.substring(1);
@@ -60,10 +60,10 @@
   }
 
   /** Returns the reply of a healthy cache server to a command. */
-  static String good(String command) {
+  static String successReply(String command) {
     return command.startsWith("mg")
-        ? "VA 5 O" + flag(command, 'O') + " h1\r\nhello\r\n"
-        : "HD O" + flag(command, 'O') + " c77\r\n";
+        ? "VA 5 O" + flagValue(command, 'O') + " h1\r\nhello\r\n"
+        : "HD O" + flagValue(command, 'O') + " c77\r\n";
   }
 
   private static String line(InputStream in) throws IOException {
@@ -83,7 +83,7 @@
     final List<Socket> connections = new CopyOnWriteArrayList<>();
 
     /** The connection of each received line, by the line's index. */
-    private final List<Source> sources = new CopyOnWriteArrayList<>();
+    private final List<LineSource> sources = new CopyOnWriteArrayList<>();
 
     volatile Function<String, String> script;
     private volatile ServerSocket listener;
@@ -92,7 +92,7 @@
      * A connection with the lock for writing to it. The lock is not the socket itself: close waits
      * for the socket's monitor, and so would wait for a peer that does not read.
      */
-    private record Source(Socket socket, Object writing) {
+    private record LineSource(Socket socket, Object writeLock) {
       void write(String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
         socket.getOutputStream().flush();
@@ -107,12 +107,12 @@
     private void listen(int port) throws IOException {
       ServerSocket opened = new ServerSocket(port, 512, InetAddress.getByName("127.0.0.1"));
       listener = opened;
-      daemon(
+      startDaemon(
           () -> {
             while (!opened.isClosed()) {
               Socket socket = opened.accept();
               connections.add(socket);
-              daemon(() -> serve(socket));
+              startDaemon(() -> serve(socket));
             }
           });
     }
@@ -124,19 +124,19 @@
 
     /** Sends text on the connection that the line of this index came from. */
     void send(int line, String text) throws IOException {
-      Source to = sources.get(line);
-      synchronized (to.writing) {
+      LineSource to = sources.get(line);
+      synchronized (to.writeLock) {
         to.write(text);
       }
     }
 
     /** Closes the connection that this line came from; the line must be unique. */
-    void breakOne(String line) throws IOException {
+    void closeConnectionOf(String line) throws IOException {
       sources.get(lines.indexOf(line)).socket.close();
     }
 
     /** Closes the connection that the line of this index came from, normally or with a reset. */
-    void end(int line, boolean reset) throws IOException {
+    void closeConnectionOf(int line, boolean reset) throws IOException {
       if (reset) {
         sources.get(line).socket.setSoLinger(true, 0);
       }
@@ -144,13 +144,13 @@
     }
 
     /** Refuses new connections and keeps the existing ones. */
-    void refuse() throws IOException {
+    void stopListening() throws IOException {
       SocketAddress address = listener.getLocalSocketAddress();
       listener.close();
       // The close takes effect only when the accepting thread notices it.
       for (boolean refused = false; !refused; ) {
         try (Socket probe = new Socket()) {
-          probe.connect(address, PATIENCE_MILLIS);
+          probe.connect(address, TIMEOUT_MILLIS);
         } catch (ConnectException e) {
           refused = true;
         } catch (SocketException e) {
@@ -160,12 +160,12 @@
     }
 
     /** Accepts new connections again, at the same address. */
-    void listenAgain() throws IOException {
+    void resumeListening() throws IOException {
       listen(listener.getLocalPort());
     }
 
     /** Closes all connections, also those with a command in progress. */
-    void breakConnections() {
+    void closeConnections() {
       for (Socket socket : connections) {
         try {
           socket.close();
@@ -175,11 +175,11 @@
       }
     }
 
-    private interface Step {
+    private interface IoAction {
       void run() throws IOException;
     }
 
-    private static void daemon(Step step) {
+    private static void startDaemon(IoAction step) {
       Thread thread =
           new Thread(
               () -> {
@@ -194,7 +194,7 @@
     }
 
     private void serve(Socket socket) throws IOException {
-      Source source = new Source(socket, new Object());
+      LineSource source = new LineSource(socket, new Object());
       try (socket) {
         InputStream in = new BufferedInputStream(socket.getInputStream());
         for (String line = line(in); line != null; line = line(in)) {
@@ -203,7 +203,7 @@
           }
           // A test that sees the line and sends on its connection must write after the script's
           // answer.
-          synchronized (source.writing) {
+          synchronized (source.writeLock) {
             synchronized (this) {
               sources.add(source);
               lines.add(line);
@@ -234,12 +234,12 @@
 
   /** Returns a discovery server that answers every watch with the same list and keeps it open. */
   static Server discovery(int version, Server... servers) throws IOException {
-    String json = list(version, servers) + "\n";
-    String answer = WATCH + chunk(json);
+    String json = listJson(version, servers) + "\n";
+    String answer = WATCH_RESPONSE_HEAD + chunk(json);
     return new Server(line -> line.startsWith("GET ") ? answer : null);
   }
 
-  static String list(int version, Server... servers) {
+  static String listJson(int version, Server... servers) {
     List<String> lines = new ArrayList<>();
     for (Server server : servers) {
       lines.add(
@@ -254,8 +254,8 @@
   static final class Client implements AutoCloseable {
     private final Socket socket = new Socket();
     private final InputStream in;
-    private final int node;
-    private final int local;
+    private final int nodePort;
+    private final int localPort;
 
     Client(InetSocketAddress node) throws IOException {
       this(node, 1 << 16);
@@ -264,11 +264,11 @@
     /** Connects with a small receive buffer, so that little is received before it is read. */
     Client(InetSocketAddress node, int receiveBuffer) throws IOException {
       socket.setReceiveBufferSize(receiveBuffer);
-      socket.connect(node, PATIENCE_MILLIS);
-      socket.setSoTimeout(PATIENCE_MILLIS);
+      socket.connect(node, TIMEOUT_MILLIS);
+      socket.setSoTimeout(TIMEOUT_MILLIS);
       in = new BufferedInputStream(socket.getInputStream());
-      this.node = node.getPort();
-      this.local = socket.getLocalPort();
+      this.nodePort = node.getPort();
+      this.localPort = socket.getLocalPort();
     }
 
     Client send(String text) throws IOException {
@@ -287,7 +287,7 @@
     }
 
     /** Returns the next line; null at the end of the connection, also after a reset. */
-    String line() throws IOException {
+    String readLine() throws IOException {
       try {
         return Peers.line(in);
       } catch (SocketTimeoutException e) {
@@ -298,7 +298,7 @@
     }
 
     /** Returns the next bytes; fewer at the end of the connection, also after a reset. */
-    byte[] bytes(int count) throws IOException {
+    byte[] readBytes(int count) throws IOException {
       byte[] bytes = new byte[count];
       int read = 0;
       try {
@@ -317,9 +317,9 @@
      * Waits until the kernel on the node's side has received the close, whether or not the node has
      * read it.
      */
-    void awaitEnded() throws InterruptedException {
-      String from = ":%04X ".formatted(node);
-      String to = ":%04X ".formatted(local);
+    void awaitCloseReceived() throws InterruptedException {
+      String from = ":%04X ".formatted(nodePort);
+      String to = ":%04X ".formatted(localPort);
       await(
           "the close is received",
           () ->
@@ -345,7 +345,7 @@
     }
 
     /** Closes the connection. */
-    void leave() throws IOException {
+    void disconnect() throws IOException {
       socket.close();
     }
 
@@ -407,7 +407,7 @@
         name, aim, 0, deadline, 1, 0.2, effect, Settings.Group.ALL, 1, false);
   }
 
-  static PoolSettings pool(Settings settings, int sockets) {
+  static PoolSettings poolSettings(Settings settings, int sockets) {
     try {
       return PoolPlan.of(settings, sockets, null);
     } catch (WireException e) {
@@ -416,7 +416,7 @@
   }
 
   /** Returns a node with an empty list of servers that is not started. */
-  static Node node(Settings settings, Server discovery) {
+  static Node unstartedNode(Settings settings, Server discovery) {
     return new Node(
         new NodeConfig(
             new InetSocketAddress("127.0.0.1", 0),
@@ -427,7 +427,7 @@
             new MemberList(true, 1, List.of()),
             settings,
             null,
-            pool(settings, 256),
+            poolSettings(settings, 256),
             "rig",
             false,
             null,
@@ -463,7 +463,7 @@
           discovery,
           limits,
           sockets,
-          pool(SETTINGS, sockets),
+          poolSettings(SETTINGS, sockets),
           Arrays.stream(servers).map(Server::address).toList());
     }
 
@@ -476,7 +476,7 @@
           new Server(line -> null),
           limits,
           256,
-          pool(SETTINGS, 256),
+          poolSettings(SETTINGS, 256),
           Arrays.stream(servers).map(Server::address).toList(),
           relayed,
           SETTINGS);
@@ -513,7 +513,7 @@
           discovery,
           ClientConnections.Limits.usual(50),
           256,
-          pool(SETTINGS, 256),
+          poolSettings(SETTINGS, 256),
           Arrays.stream(servers).map(Server::address).toList());
     }
 
--- a/src/test/java/beamspread/node/PeersTest.java
+++ b/src/test/java/beamspread/node/PeersTest.java
@@ -11,13 +11,13 @@
   private static final int UNREAD_CHARACTERS = 64 << 20;
 
   @Test
-  void aServerClosesWhileItWritesToAClientThatDoesNotRead() throws Exception {
+  void serverClosesWhileWritingToClientThatDoesNotRead() throws Exception {
     String answer = "x".repeat(UNREAD_CHARACTERS);
     Peers.Server server = new Peers.Server(line -> answer);
     try (Peers.Client client = new Peers.Client(server.address(), 1 << 12)) {
       client.send("mn\r\n");
       Peers.await("the answer is being written", () -> server.lines.size() == 1);
-      client.bytes(1);
+      client.readBytes(1);
       assertTimeoutPreemptively(Duration.ofSeconds(20), server::close);
     }
   }
--- a/src/test/java/beamspread/node/PoolPlanTest.java
+++ b/src/test/java/beamspread/node/PoolPlanTest.java
@@ -20,27 +20,27 @@
     return PoolPlan.of(SETTINGS, 256, json == null ? null : Message.parse(json));
   }
 
-  private static void fault(String json, String... words) {
+  private static void assertFault(String json, String... words) {
     assertThatThrownBy(() -> read(json)).hasMessageContainingAll(words);
   }
 
   @Test
-  void theSampleIsGoodAndAnAbsentFileMeansThePlatformsOwnFigures() throws Exception {
+  void acceptsSampleFileAndUsesDefaultsWithoutFile() throws Exception {
     PoolSettings sample = read(Files.readString(Path.of("deploy/pool.json")));
     assertThat(sample.spare()).isEqualTo(1);
     assertThat(sample.idleNanos()).isEqualTo(20_000_000_000L);
-    PoolSettings own = read(null);
-    assertThat(own.connections()).isEqualTo(6);
-    assertThat(own.spare()).isZero();
-    assertThat(own.freeEach()).as("12 over a tier of two").isEqualTo(6);
+    PoolSettings defaults = read(null);
+    assertThat(defaults.connections()).isEqualTo(6);
+    assertThat(defaults.spare()).isZero();
+    assertThat(defaults.freeEach()).as("12 over a tier of two").isEqualTo(6);
     assertThat(read("{\"free_each\":0.25}").freeEach()).isEqualTo(0.25);
-    assertThat(own.sockets()).isEqualTo(80);
-    assertThat(read("{}")).isEqualTo(own);
+    assertThat(defaults.sockets()).isEqualTo(80);
+    assertThat(read("{}")).isEqualTo(defaults);
     assertThat(PoolPlan.of(SETTINGS, 64, null).freeEach()).as("few descriptors").isEqualTo(6);
   }
 
   @Test
-  void connectionsRestForHalfOfWhatServersKeepThemHoweverLittleThatIs() throws Exception {
+  void idleTimeIsHalfOfServersEvenWhenShort() throws Exception {
     Settings closesSoon =
         Peers.settings(
             new Settings.Limits(6, true, true, false, false, false, 1, 2, 0.8, 32, 20000));
@@ -48,16 +48,16 @@
   }
 
   @Test
-  void everyFaultIsNamed() {
-    fault("{\"connections\":0}", "connections must be at least 1");
-    fault("{\"free_each\":0}", "free_each must be above 0");
-    fault("{\"leaving\":-1}", "leaving must not be negative");
-    fault("{\"idle_s\":61}", "idle_s must be 60 at most here, is 61");
-    fault("{\"depth\":33}", "depth must be 32 at most");
-    fault("{\"connections\":1.5}", "connections must be a whole number");
-    fault("{\"spare\":\"one\"}", "spare is not a number");
-    fault("{\"idel_s\":1,\"connections\":-2}", "unknown key 'idel_s'", "connections must be");
-    fault("{\"connections\":2,\"spare\":2}", "spare must be under connections, which is 2");
-    fault("{\"connections\":81}", "connections must be 80 at most");
+  void namesEveryFault() {
+    assertFault("{\"connections\":0}", "connections must be at least 1");
+    assertFault("{\"free_each\":0}", "free_each must be above 0");
+    assertFault("{\"leaving\":-1}", "leaving must not be negative");
+    assertFault("{\"idle_s\":61}", "idle_s must be 60 at most here, is 61");
+    assertFault("{\"depth\":33}", "depth must be 32 at most");
+    assertFault("{\"connections\":1.5}", "connections must be a whole number");
+    assertFault("{\"spare\":\"one\"}", "spare is not a number");
+    assertFault("{\"idel_s\":1,\"connections\":-2}", "unknown key 'idel_s'", "connections must be");
+    assertFault("{\"connections\":2,\"spare\":2}", "spare must be under connections, which is 2");
+    assertFault("{\"connections\":81}", "connections must be 80 at most");
   }
 }
--- a/src/test/java/beamspread/node/PoolSocketsTest.java
+++ b/src/test/java/beamspread/node/PoolSocketsTest.java
@@ -274,8 +274,8 @@
 
   private boolean served(Peers.Client client) {
     try {
-      String line = client.read("known" + asks++).line();
-      return line.startsWith("VA ") && client.line() != null;
+      String line = client.read("known" + asks++).readLine();
+      return line.startsWith("VA ") && client.readLine() != null;
     } catch (java.io.IOException e) {
       throw new AssertionError(e);
     }
--- a/src/test/java/beamspread/node/RehearsalTest.java
+++ b/src/test/java/beamspread/node/RehearsalTest.java
@@ -16,19 +16,19 @@
 @ExtendWith(LeakCheck.class)
 class RehearsalTest {
   @Test
-  void goesThroughAllItsRequests() throws Exception {
+  void sendsAllRequests() throws Exception {
     assertEquals(
         Rehearsal.REQUESTS,
         Rehearsal.run(Rehearsal.sampleConfig(true), new Log("rehearsal", false)));
   }
 
   @Test
-  void whoComesToADomainSocketIsMet(@TempDir Path folder) throws Exception {
+  void detectsWorkingDomainSocket(@TempDir Path folder) throws Exception {
     assertTrue(Rehearsal.canConnect(folder.resolve("a"), folder.resolve("a")));
   }
 
   @Test
-  void whereNobodyComesThereIsNoRehearsal(@TempDir Path folder) throws Exception {
+  void detectsDomainSocketWithoutConnections(@TempDir Path folder) throws Exception {
     // Refused, as on a platform that binds domain sockets but delivers no connections to them.
     assertFalse(Rehearsal.canConnect(folder.resolve("a"), folder.resolve("b")));
     // Connected to another socket: the listener never receives the connection.
--- a/src/test/java/beamspread/node/EverNewTest.java
+++ b/src/test/java/beamspread/node/RetainedStateTest.java
@@ -25,20 +25,20 @@
  * new clients, cache servers and keys.
  */
 @ExtendWith(LeakCheck.class)
-class EverNewTest {
-  private static final int MANY = 10_000;
+class RetainedStateTest {
+  private static final int REQUESTS = 10_000;
 
   /** Servers in one list. */
-  private static final int LISTED = 50;
+  private static final int SERVERS_PER_LIST = 50;
 
   /** Upper bound of any collection, except for those that are kept on purpose. */
-  private static final int FEW = 512;
+  private static final int MAX_RETAINED = 512;
 
   /**
    * Bounds of the collections that are kept on purpose: recently answered keys, and ids that
    * operators may name.
    */
-  private static final Map<String, Integer> REMEMBERED =
+  private static final Map<String, Integer> BOUNDED_BY_DESIGN =
       Map.of("OriginGuard.answeredAt", 1 << 15, "Detachments.seen", 1 << 12);
 
   private final EventLoopGroup group =
@@ -46,7 +46,7 @@
   private final List<CacheServer> servers = new ArrayList<>();
 
   @AfterEach
-  void end() {
+  void closeServers() {
     servers.forEach(CacheServer::close);
     group.shutdownGracefully(30, 1000, TimeUnit.MILLISECONDS).syncUninterruptibly();
   }
@@ -54,8 +54,8 @@
   /** Returns a list of new servers, all of them at the few addresses in use. */
   private String list(int version) {
     List<String> lines = new ArrayList<>();
-    for (int i = 0; i < LISTED; i++) {
-      int number = version * LISTED + i;
+    for (int i = 0; i < SERVERS_PER_LIST; i++) {
+      int number = version * SERVERS_PER_LIST + i;
       lines.add(
           "{\"id\":\"s-%d\",\"addr\":\"127.0.0.1:%d\",\"zone\":\"a\",\"kind\":\"box\",\"state\":\"active\"}"
               .formatted(number, servers.get(number % servers.size()).address().getPort()));
@@ -67,7 +67,7 @@
   }
 
   @Test
-  void tenThousandClientsServersAndKeysLeaveNothingBehind() throws Exception {
+  void collectionsStayBoundedOverManyClientsServersAndKeys() throws Exception {
     for (int i = 0; i < 4; i++) {
       servers.add(new CacheServer(group.next(), new CacheServer.Conduct(0, 10_000, true, 0, 0)));
     }
@@ -87,7 +87,7 @@
                   new MemberList(true, 1, List.of()),
                   settings,
                   null,
-                  Peers.pool(settings, 256),
+                  Peers.poolSettings(settings, 256),
                   "ever",
                   false,
                   null,
@@ -101,28 +101,28 @@
         Peers.await("a watch", () -> !discovery.lines.isEmpty());
         String watch = discovery.lines.get(0);
         int served = 0;
-        int lists = MANY / LISTED;
+        int lists = REQUESTS / SERVERS_PER_LIST;
         for (int version = 3; version < lists + 3; version++) {
-          for (int i = 0; i < LISTED; i++) {
+          for (int i = 0; i < SERVERS_PER_LIST; i++) {
             String id = Integer.toHexString((version << 8) + i);
             try (Peers.Client client = new Peers.Client(address)) {
               client.send("mg k" + id + " v O" + id + " Pc=read,d=5000\r\n");
-              served += client.line().startsWith("VA") ? 1 : 0;
+              served += client.readLine().startsWith("VA") ? 1 : 0;
             }
           }
           discovery.send(watch, list(version));
         }
-        assertThat(served).isGreaterThan(MANY * 9 / 10);
+        assertThat(served).isGreaterThan(REQUESTS * 9 / 10);
         Peers.await("all client connections are closed", () -> node.clientCount() == 0);
         Map<String, Integer> held = node.loop().submit(() -> Retained.by(node)).get();
         assertThat(held)
             .containsKeys(
                 "Targets.listed", "Pools.leaving", "OpenRequests.byId", "WakeTimers.byToken");
-        assertThat(held.get("MembershipFeed.servers")).isLessThanOrEqualTo(LISTED);
+        assertThat(held.get("MembershipFeed.servers")).isLessThanOrEqualTo(SERVERS_PER_LIST);
         held.forEach(
             (name, size) -> {
-              int most = REMEMBERED.getOrDefault(name, FEW);
-              assertThat(size).as("%s of %s", name, held).isLessThanOrEqualTo(most);
+              int limit = BOUNDED_BY_DESIGN.getOrDefault(name, MAX_RETAINED);
+              assertThat(size).as("%s of %s", name, held).isLessThanOrEqualTo(limit);
             });
       } finally {
         node.close();
--- a/src/test/java/beamspread/node/ScriptedDiscovery.java
+++ b/src/test/java/beamspread/node/ScriptedDiscovery.java
@@ -164,7 +164,7 @@
   /** The good conduct: a watch that is told the whole list at first and whenever it has changed. */
   void watch(Call call) throws IOException, InterruptedException {
     String told = list;
-    call.write(Peers.WATCH + Peers.chunk(told + "\n"));
+    call.write(Peers.WATCH_RESPONSE_HEAD + Peers.chunk(told + "\n"));
     while (true) {
       TimeUnit.MILLISECONDS.sleep(BEAT_MILLIS);
       String current = list;
@@ -186,19 +186,19 @@
 
   /** It breaks off in the middle of its answer, and the connection stays open. */
   void breaksOff(Call call) throws IOException {
-    call.write(Peers.WATCH + Peers.chunk(list.substring(0, list.length() / 2)));
+    call.write(Peers.WATCH_RESPONSE_HEAD + Peers.chunk(list.substring(0, list.length() / 2)));
     call.hang();
   }
 
   /** It resets the connection in the middle of its answer. */
   void resetsMidway(Call call) throws IOException {
-    call.write(Peers.WATCH + Peers.chunk(list.substring(0, list.length() / 2)));
+    call.write(Peers.WATCH_RESPONSE_HEAD + Peers.chunk(list.substring(0, list.length() / 2)));
     call.reset();
   }
 
   /** Its answer comes byte by byte. */
   void drips(Call call) throws IOException, InterruptedException {
-    call.write(Peers.WATCH);
+    call.write(Peers.WATCH_RESPONSE_HEAD);
     for (char c : list.toCharArray()) {
       call.write(Peers.chunk(String.valueOf(c)));
       TimeUnit.MILLISECONDS.sleep(100);
@@ -212,7 +212,7 @@
 
   /** Its watch stands and beats, and tells no list. */
   void beatsAlone(Call call) throws IOException, InterruptedException {
-    call.write(Peers.WATCH);
+    call.write(Peers.WATCH_RESPONSE_HEAD);
     while (true) {
       call.write(Peers.chunk("\n"));
       TimeUnit.MILLISECONDS.sleep(BEAT_MILLIS);
@@ -221,7 +221,7 @@
 
   /** What it says can't be read. */
   void nonsense(Call call) throws IOException {
-    call.write(Peers.WATCH + Peers.chunk("{\"version\":\"none\"}\n"));
+    call.write(Peers.WATCH_RESPONSE_HEAD + Peers.chunk("{\"version\":\"none\"}\n"));
     call.hang();
   }
 
--- a/src/test/java/beamspread/node/ServeProcess.java
+++ b/src/test/java/beamspread/node/ServeProcess.java
@@ -32,11 +32,11 @@
   /**
    * Writes its configuration.
    *
-   * @param more further fields, each followed by a comma
+   * @param extraFields further fields, each followed by a comma
    */
-  void configure(String listen, String more, Peers.Server discovery, Peers.Server... servers)
+  void configure(String listen, String extraFields, Peers.Server discovery, Peers.Server... servers)
       throws IOException {
-    configure(listen, more, discovery.address(), 1, servers);
+    configure(listen, extraFields, discovery.address(), 1, servers);
   }
 
   /**
@@ -45,7 +45,7 @@
    */
   void configure(
       String listen,
-      String more,
+      String extraFields,
       InetSocketAddress discovery,
       int instances,
       Peers.Server... servers)
@@ -65,7 +65,12 @@
            {"name":"put","slo":1,"give-up":2,"effect":"fragile"}]}}
         """
             .formatted(
-                listen, discovery.getPort(), status, more, Peers.list(40, servers), instances));
+                listen,
+                discovery.getPort(),
+                status,
+                extraFields,
+                Peers.listJson(40, servers),
+                instances));
   }
 
   Process launch() throws IOException {
@@ -73,28 +78,29 @@
   }
 
   /** Starts it with these options for the JVM. */
-  Process launch(List<String> machine) throws IOException {
-    return launch(List.of(), machine);
+  Process launch(List<String> jvmOptions) throws IOException {
+    return launch(List.of(), jvmOptions);
   }
 
   /** Starts it with this limit on file descriptors. */
-  Process launchWithin(int descriptors) throws IOException {
+  Process launchWithDescriptorLimit(int descriptors) throws IOException {
     List<String> limited =
         List.of("sh", "-c", "ulimit -n " + descriptors + " && exec \"$@\"", "sh");
     return launch(limited, List.of());
   }
 
   /** Starts it so that it inherits that SIGHUP is ignored, as under nohup. */
-  Process launchIgnoringHangup() throws IOException {
+  Process launchIgnoringSighup() throws IOException {
     return launch(List.of("sh", "-c", "trap '' HUP; exec \"$@\"", "sh"), List.of());
   }
 
-  private Process launch(List<String> through, List<String> machine) throws IOException {
-    List<String> words = new ArrayList<>(through);
-    words.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-    words.addAll(machine);
-    words.addAll(List.of("-cp", System.getProperty("java.class.path"), "beamspread.Main", "serve"));
-    ProcessBuilder builder = new ProcessBuilder(words);
+  private Process launch(List<String> prefix, List<String> jvmOptions) throws IOException {
+    List<String> command = new ArrayList<>(prefix);
+    command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
+    command.addAll(jvmOptions);
+    command.addAll(
+        List.of("-cp", System.getProperty("java.class.path"), "beamspread.Main", "serve"));
+    ProcessBuilder builder = new ProcessBuilder(command);
     builder.environment().put("ROUTER_CONFIG", config.toString());
     builder.environment().put("TMPDIR", folder.toString());
     return builder.redirectErrorStream(true).redirectOutput(log.toFile()).start();
--- a/src/test/java/beamspread/node/SpoiltRepliesTest.java
+++ b/src/test/java/beamspread/node/SpoiltRepliesTest.java
@@ -21,8 +21,8 @@
     AtomicInteger count = new AtomicInteger();
     return line ->
         count.getAndIncrement() == 0
-            ? answer.replace("ID", Peers.flag(line, 'O'))
-            : Peers.good(line);
+            ? answer.replace("ID", Peers.flagValue(line, 'O'))
+            : Peers.successReply(line);
   }
 
   @ParameterizedTest
@@ -45,8 +45,8 @@
     try (Peers.Server server = new Peers.Server(first(answer));
         Peers.Rig rig = new Peers.Rig(CALM, server);
         Peers.Client client = rig.client()) {
-      assertEquals("VA 5 O1", client.read("1").line());
-      assertEquals("hello", client.line());
+      assertEquals("VA 5 O1", client.read("1").readLine());
+      assertEquals("hello", client.readLine());
       assertEquals(2, server.lines.size());
     }
   }
@@ -57,8 +57,8 @@
     try (Peers.Server server = new Peers.Server(first(answer));
         Peers.Rig rig = new Peers.Rig(CALM, server);
         Peers.Client client = rig.client()) {
-      assertEquals("SERVER_ERROR failed", client.write("1").line());
-      assertEquals("HD O2 c77", client.write("2").line());
+      assertEquals("SERVER_ERROR failed", client.write("1").readLine());
+      assertEquals("HD O2 c77", client.write("2").readLine());
       assertEquals(2, server.lines.size());
     }
   }
@@ -75,9 +75,9 @@
     try (Peers.Server server = new Peers.Server(first(answer));
         Peers.Rig rig = new Peers.Rig(CALM, server);
         Peers.Client client = rig.client()) {
-      assertEquals("VA 5 O1", client.read("1").line());
-      assertEquals("hello", client.line());
-      assertEquals("HD O2 c77", client.write("2").line());
+      assertEquals("VA 5 O1", client.read("1").readLine());
+      assertEquals("hello", client.readLine());
+      assertEquals("HD O2 c77", client.write("2").readLine());
       assertEquals(2, server.lines.size());
       Peers.await("the connection is given up", () -> server.connections.size() <= 1);
     }
@@ -90,8 +90,8 @@
     try (Peers.Server server = new Peers.Server(first("VA 5 OID h1 " + report + "\r\nhello\r\n"));
         Peers.Rig rig = new Peers.Rig(CALM, server);
         Peers.Client client = rig.client()) {
-      assertEquals("VA 5 O1", client.read("1").line());
-      assertEquals("hello", client.line());
+      assertEquals("VA 5 O1", client.read("1").readLine());
+      assertEquals("hello", client.readLine());
       assertEquals(1, server.lines.size());
     }
   }
@@ -101,8 +101,8 @@
     try (Peers.Server server = new Peers.Server(first("CLIENT_ERROR what\r\n"));
         Peers.Rig rig = new Peers.Rig(CALM, server);
         Peers.Client client = rig.client()) {
-      assertEquals("SERVER_ERROR failed", client.write("1").line());
-      assertEquals("VA 5 O2", client.read("2").line());
+      assertEquals("SERVER_ERROR failed", client.write("1").readLine());
+      assertEquals("VA 5 O2", client.read("2").readLine());
       assertEquals(1, server.connections.size());
     }
   }
--- a/src/test/java/beamspread/node/StaleListTest.java
+++ b/src/test/java/beamspread/node/StaleListTest.java
@@ -45,7 +45,7 @@
 
     private String answer(String command) {
       arrivals.add(System.nanoTime());
-      return Peers.good(command);
+      return Peers.successReply(command);
     }
 
     /** How long after a moment the last command came, in milliseconds; below 0 for before. */
@@ -74,7 +74,7 @@
     final AtomicInteger asked = new AtomicInteger();
 
     Scene(String name) throws Exception {
-      discovery = new ScriptedDiscovery(Peers.list(41, stays.server, leaves.server));
+      discovery = new ScriptedDiscovery(Peers.listJson(41, stays.server, leaves.server));
       node = new ServeProcess(folder, name);
       node.configure("127.0.0.1:0", "", discovery.address(), 1, stays.server, leaves.server);
       process = node.launch();
@@ -98,9 +98,9 @@
     private void ask() {
       try {
         String id = Integer.toString(asked.incrementAndGet());
-        String answer = client.read(id).line();
+        String answer = client.read(id).readLine();
         if (("VA 5 O" + id).equals(answer)) {
-          client.line();
+          client.readLine();
           servedAt.add(System.nanoTime());
         } else if (answer != null && answer.startsWith("SERVER_ERROR busy")) {
           turnedAwayAt.add(System.nanoTime());
@@ -114,7 +114,7 @@
 
     /** One server leaves, and all watches break; returns when. */
     long cut(Fault fault) throws IOException {
-      discovery.list(Peers.list(42, stays.server));
+      discovery.list(Peers.listJson(42, stays.server));
       long moment = System.nanoTime();
       fault.step.begin(discovery);
       return moment;
@@ -250,7 +250,7 @@
   @Test
   void anOutageOfDiscoveryTakesNoNodeOutOfService() throws Exception {
     try (Scene scene = new Scene("outage")) {
-      scene.discovery.list(Peers.list(42, scene.stays.server));
+      scene.discovery.list(Peers.listJson(42, scene.stays.server));
       long down = System.nanoTime();
       scene.discovery.down();
       await(down, WATCHED_MILLIS);
--- a/src/test/java/beamspread/node/StalledNodeTest.java
+++ b/src/test/java/beamspread/node/StalledNodeTest.java
@@ -30,28 +30,28 @@
  * request whose deadline has passed.
  */
 class StalledNodeTest {
-  private static final long MS = 1_000_000L;
+  private static final long NANOS_PER_MILLI = 1_000_000L;
 
   /** How late an answer may be before its request counts as lost. */
-  private static final long SLACK_NANOS = 500 * MS;
+  private static final long SLACK_NANOS = 500 * NANOS_PER_MILLI;
 
   /** Requests whose deadline is this close to the end of the stall are not judged. */
-  private static final long DOUBT_NANOS = 60 * MS;
+  private static final long UNJUDGED_NANOS = 60 * NANOS_PER_MILLI;
 
-  private static final int DURING = 30;
+  private static final int REQUESTS_DURING_STALL = 30;
 
   /** Requests that are served before the stall, over more than a second. */
-  private static final int WARM = 600;
+  private static final int WARM_UP_REQUESTS = 600;
 
   @TempDir Path folder;
   private final ExecutorService readers = Executors.newCachedThreadPool();
   private final List<Future<Answered>> answers = new ArrayList<>();
   private final SplittableRandom random = new SplittableRandom(4711);
-  private int ids;
+  private int lastId;
 
   /** A request and its answer as the client received it. */
   private record Answered(String id, long dueAt, String first, long answeredAt, String second) {
-    boolean whole() {
+    boolean isComplete() {
       return first != null
           && (first.equals("VA 5 O" + id) || first.startsWith("SERVER_ERROR "))
           && second == null;
@@ -60,58 +60,59 @@
 
   /** Returns a server that answers reads of keys that begin with f, and nothing else. */
   private static Peers.Server server() throws IOException {
-    return new Peers.Server(line -> line.startsWith("mg f") ? Peers.good(line) : null);
+    return new Peers.Server(line -> line.startsWith("mg f") ? Peers.successReply(line) : null);
   }
 
   private Callable<Answered> reader(Peers.Client client, String id, long dueAt) {
     return () -> {
-      String first = client.line();
+      String first = client.readLine();
       final long at = System.nanoTime();
       if (first != null && first.startsWith("VA ")) {
-        assertThat(client.line()).isEqualTo("hello");
+        assertThat(client.readLine()).isEqualTo("hello");
       }
       // A no-op command follows: its reply must be the next line, or an extra answer was sent.
       client.send("mn\r\n");
-      String second = client.line();
+      String second = client.readLine();
       client.close();
       return new Answered(id, dueAt, first, at, "MN".equals(second) ? null : second);
     };
   }
 
-  private void ask(InetSocketAddress node, String key, long millis) throws IOException {
-    String id = "q" + ++ids;
+  private void sendRead(InetSocketAddress node, String key, long millis) throws IOException {
+    String id = "q" + ++lastId;
     Peers.Client client = new Peers.Client(node);
-    long dueAt = System.nanoTime() + millis * MS;
+    long dueAt = System.nanoTime() + millis * NANOS_PER_MILLI;
     client.send("mg " + key + id + " v O" + id + " Pc=read,d=" + millis + "\r\n");
     answers.add(readers.submit(reader(client, id, dueAt)));
   }
 
-  private static void pause(long until) {
+  private static void sleepUntil(long until) {
     for (long left = until - System.nanoTime(); left > 0; left = until - System.nanoTime()) {
       LockSupport.parkNanos(left);
     }
   }
 
   /** Sends some requests that are served, so that the node has statistics on its cache servers. */
-  private void warm(InetSocketAddress node) throws IOException {
+  private void warmUp(InetSocketAddress node) throws IOException {
     try (Peers.Client client = new Peers.Client(node)) {
-      for (int i = 0; i < WARM; i++) {
-        String id = "w" + ++ids;
+      for (int i = 0; i < WARM_UP_REQUESTS; i++) {
+        String id = "w" + ++lastId;
         client.send("mg f" + i % 50 + " v O" + id + " Pc=read,d=3000\r\n");
-        assertThat(client.line()).isEqualTo("VA 5 O" + id);
-        assertThat(client.line()).isEqualTo("hello");
-        pause(System.nanoTime() + 2 * MS);
+        assertThat(client.readLine()).isEqualTo("VA 5 O" + id);
+        assertThat(client.readLine()).isEqualTo("hello");
+        sleepUntil(System.nanoTime() + 2 * NANOS_PER_MILLI);
       }
     }
   }
 
   /** Sends requests spread evenly over the stall. */
-  private void askDuring(InetSocketAddress node, long stalledAt, long millis) throws IOException {
-    for (int i = 0; i < DURING; i++) {
-      pause(stalledAt + millis * MS * i / DURING);
-      ask(node, i % 3 == 0 ? "f" : "h", 500 + random.nextInt(2500));
+  private void sendDuringStall(InetSocketAddress node, long stalledAt, long millis)
+      throws IOException {
+    for (int i = 0; i < REQUESTS_DURING_STALL; i++) {
+      sleepUntil(stalledAt + millis * NANOS_PER_MILLI * i / REQUESTS_DURING_STALL);
+      sendRead(node, i % 3 == 0 ? "f" : "h", 500 + random.nextInt(2500));
     }
-    pause(stalledAt + millis * MS);
+    sleepUntil(stalledAt + millis * NANOS_PER_MILLI);
   }
 
   /**
@@ -121,23 +122,23 @@
    * @param open how many requests were open when the stall began
    * @return how many answers were unavoidably late
    */
-  private int judge(long runsAgainAt, List<String> sentOn, int open) throws Exception {
-    Set<String> begun =
-        sentOn.stream().map(line -> Peers.flag(line, 'O')).collect(Collectors.toSet());
+  private int checkAnswers(long resumedAt, List<String> sentOn, int open) throws Exception {
+    Set<String> sentIds =
+        sentOn.stream().map(line -> Peers.flagValue(line, 'O')).collect(Collectors.toSet());
     int lost = 0;
     for (int i = 0; i < answers.size(); i++) {
-      Answered one = answers.get(i).get();
-      assertThat(one.whole()).as("%s", one).isTrue();
-      long lateNanos = one.answeredAt - one.dueAt - SLACK_NANOS;
-      boolean couldBeSaved = one.dueAt + SLACK_NANOS - runsAgainAt > DOUBT_NANOS;
-      if (couldBeSaved) {
-        assertThat(lateNanos).as("%s", one).isNegative();
+      Answered answered = answers.get(i).get();
+      assertThat(answered.isComplete()).as("%s", answered).isTrue();
+      long lateNanos = answered.answeredAt - answered.dueAt - SLACK_NANOS;
+      boolean answerable = answered.dueAt + SLACK_NANOS - resumedAt > UNJUDGED_NANOS;
+      if (answerable) {
+        assertThat(lateNanos).as("%s", answered).isNegative();
       } else if (lateNanos > 0) {
         lost++;
       }
-      boolean past = runsAgainAt - one.dueAt > DOUBT_NANOS;
-      if (i >= open && past) {
-        assertThat(begun).as("sent to a server after its deadline").doesNotContain(one.id);
+      boolean expired = resumedAt - answered.dueAt > UNJUDGED_NANOS;
+      if (i >= open && expired) {
+        assertThat(sentIds).as("sent to a server after its deadline").doesNotContain(answered.id);
       }
     }
     return lost;
@@ -151,7 +152,7 @@
     }
   }
 
-  private static InetSocketAddress listens(ServeProcess node) throws InterruptedException {
+  private static InetSocketAddress awaitAddress(ServeProcess node) throws InterruptedException {
     InetSocketAddress[] found = new InetSocketAddress[1];
     Peers.await(
         "the node answers",
@@ -187,19 +188,19 @@
               .replace("\"give-up\":2", "\"give-up\":3"));
       Process process = node.launch();
       try {
-        InetSocketAddress address = listens(node);
-        warm(address);
+        InetSocketAddress address = awaitAddress(node);
+        warmUp(address);
         for (int i = 0; i < open; i++) {
-          ask(address, "h", 1000 + random.nextInt(2000));
+          sendRead(address, "h", 1000 + random.nextInt(2000));
         }
         Peers.await("all requests are received", () -> openRequests(node) >= open);
         signal(process, "STOP");
         long stalledAt = System.nanoTime();
-        askDuring(address, stalledAt, millis);
+        sendDuringStall(address, stalledAt, millis);
         signal(process, "CONT");
-        long runsAgainAt = System.nanoTime();
+        long resumedAt = System.nanoTime();
         List<String> sentOn = new ArrayList<>();
-        int lost = judgeLater(runsAgainAt, servers, sentOn, open);
+        int lost = awaitAndCheckAnswers(resumedAt, servers, sentOn, open);
         System.out.printf("%d open, stopped for %d ms: %d unavoidably late%n", open, millis, lost);
         assertThat(lost).isLessThanOrEqualTo(open);
         Peers.await("no request is left open", () -> openRequests(node) == 0);
@@ -217,35 +218,34 @@
   /**
    * Checks the answers once all clients have theirs, so that everything to be sent has been sent.
    */
-  private int judgeLater(
-      long runsAgainAt, List<Peers.Server> servers, List<String> sentOn, int open)
-      throws Exception {
-    for (Future<Answered> one : answers) {
-      one.get();
+  private int awaitAndCheckAnswers(
+      long resumedAt, List<Peers.Server> servers, List<String> sentOn, int open) throws Exception {
+    for (Future<Answered> answered : answers) {
+      answered.get();
     }
     servers.forEach(server -> sentOn.addAll(server.lines));
-    return judge(runsAgainAt, sentOn, open);
+    return checkAnswers(resumedAt, sentOn, open);
   }
 
   @ParameterizedTest
   @CsvSource({"300", "1000", "2000"})
-  void aLoopThatIsHeldLosesNothingThatItCouldSave(long millis) throws Exception {
+  void blockedEventLoopLosesNoRequestThatItCouldAnswer(long millis) throws Exception {
     try (Peers.Server server = server();
         Peers.Rig rig = new Peers.Rig(ClientConnections.Limits.usual(200), 512, server)) {
-      warm(rig.address);
+      warmUp(rig.address);
       for (int i = 0; i < 60; i++) {
-        ask(rig.address, "h", 1000 + random.nextInt(2000));
+        sendRead(rig.address, "h", 1000 + random.nextInt(2000));
       }
       Peers.await("all requests are received", () -> rig.node.openRequests() >= 60);
       long stalledAt = System.nanoTime();
-      long runsAgainAt;
-      try (Hold hold = new Hold(rig.node, 0)) {
-        askDuring(rig.address, stalledAt, millis);
+      long resumedAt;
+      try (EventLoopHold hold = new EventLoopHold(rig.node, 0)) {
+        sendDuringStall(rig.address, stalledAt, millis);
         hold.release();
-        runsAgainAt = System.nanoTime();
+        resumedAt = System.nanoTime();
       }
       List<String> sentOn = new ArrayList<>();
-      int lost = judgeLater(runsAgainAt, List.of(server), sentOn, 60);
+      int lost = awaitAndCheckAnswers(resumedAt, List.of(server), sentOn, 60);
       System.out.printf("60 open, blocked for %d ms: %d unavoidably late%n", millis, lost);
       assertThat(lost).isLessThanOrEqualTo(60);
     } finally {
@@ -255,24 +255,24 @@
 
   /** A client that disconnects during the stall is not served; another one that stays is. */
   @Test
-  void whoLeavesDuringTheStallIsNotServed() throws Exception {
+  void doesNotServeClientThatDisconnectsDuringStall() throws Exception {
     try (Peers.Server server = server();
         Peers.Rig rig = new Peers.Rig(ClientConnections.Limits.usual(50), server)) {
-      Peers.Client stays = rig.client();
-      Peers.Client leaves = rig.client();
-      assertThat(stays.send("mn\r\n").line()).isEqualTo("MN");
-      assertThat(leaves.send("mn\r\n").line()).isEqualTo("MN");
-      try (Hold hold = new Hold(rig.node, 0)) {
-        leaves.send("mg f1 v Oleaves Pc=read,d=3000\r\n").leave();
-        leaves.awaitEnded();
-        stays.send("mg f2 v Ostays Pc=read,d=3000\r\n");
-        pause(System.nanoTime() + 200 * MS);
+      Peers.Client connected = rig.client();
+      Peers.Client disconnected = rig.client();
+      assertThat(connected.send("mn\r\n").readLine()).isEqualTo("MN");
+      assertThat(disconnected.send("mn\r\n").readLine()).isEqualTo("MN");
+      try (EventLoopHold hold = new EventLoopHold(rig.node, 0)) {
+        disconnected.send("mg f1 v Oleaves Pc=read,d=3000\r\n").disconnect();
+        disconnected.awaitCloseReceived();
+        connected.send("mg f2 v Ostays Pc=read,d=3000\r\n");
+        sleepUntil(System.nanoTime() + 200 * NANOS_PER_MILLI);
         hold.release();
-        assertThat(stays.line()).isEqualTo("VA 5 Ostays");
+        assertThat(connected.readLine()).isEqualTo("VA 5 Ostays");
       }
       assertThat(server.lines).noneMatch(line -> line.contains("Oleaves"));
       Peers.await("no request is left open", () -> rig.node.openRequests() == 0);
-      stays.close();
+      connected.close();
     } finally {
       readers.shutdownNow();
     }
--- a/src/test/java/beamspread/node/StopUnderLoadTest.java
+++ b/src/test/java/beamspread/node/StopUnderLoadTest.java
@@ -28,39 +28,39 @@
   /**
    * The longest deadline of the settings plus the time after it until the platform kills a node.
    */
-  private static final long MOST_MILLIS = 3_000 + 700;
+  private static final long MAX_STOP_MILLIS = 3_000 + 700;
 
   @TempDir Path folder;
-  private final CountDownLatch answer = new CountDownLatch(1);
+  private final CountDownLatch answersAllowed = new CountDownLatch(1);
 
   /** The clients, each with the ids of its expected answers in order. */
-  private final Map<Peers.Client, List<String>> owed = new LinkedHashMap<>();
+  private final Map<Peers.Client, List<String>> expectedIds = new LinkedHashMap<>();
 
-  private int ids;
+  private int lastId;
 
   private String read(Peers.Client client, String key) {
-    String id = "r" + ++ids;
-    owed.computeIfAbsent(client, c -> new ArrayList<>()).add(id);
+    String id = "r" + ++lastId;
+    expectedIds.computeIfAbsent(client, c -> new ArrayList<>()).add(id);
     return "mg " + key + " v O" + id + " Pc=read,d=2900\r\n";
   }
 
   private String write(Peers.Client client, String key) {
-    String id = "w" + ++ids;
-    owed.computeIfAbsent(client, c -> new ArrayList<>()).add(id);
+    String id = "w" + ++lastId;
+    expectedIds.computeIfAbsent(client, c -> new ArrayList<>()).add(id);
     return "ms " + key + " 5 O" + id + " Pc=put,d=2900\r\nworld\r\n";
   }
 
   /** Answers once the test allows it, so that requests are open when SIGTERM arrives. */
-  private String held(String line) {
+  private String answerWhenAllowed(String line) {
     try {
-      answer.await();
+      answersAllowed.await();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    return Peers.good(line);
+    return Peers.successReply(line);
   }
 
-  private InetSocketAddress listens(ServeProcess node, Process process) throws Exception {
+  private InetSocketAddress awaitAddress(ServeProcess node, Process process) throws Exception {
     InetSocketAddress[] found = new InetSocketAddress[1];
     Peers.await(
         "the node answers",
@@ -70,7 +70,7 @@
             String[] at = node.status().requiredText("listen").split(":");
             found[0] = new InetSocketAddress(at[0], Integer.parseInt(at[1]));
             try (Peers.Client client = new Peers.Client(found[0])) {
-              return "MN".equals(client.send("mn\r\n").line());
+              return "MN".equals(client.send("mn\r\n").readLine());
             }
           } catch (IOException | WireException e) {
             return false;
@@ -83,15 +83,15 @@
    * Reads the expected answers of each client, and checks that nothing follows; returns how many
    * requests were served.
    */
-  private int settle() throws IOException {
+  private int checkAllAnswers() throws IOException {
     int served = 0;
-    for (Map.Entry<Peers.Client, List<String>> one : owed.entrySet()) {
-      for (String id : one.getValue()) {
-        String line = one.getKey().line();
+    for (Map.Entry<Peers.Client, List<String>> entry : expectedIds.entrySet()) {
+      for (String id : entry.getValue()) {
+        String line = entry.getKey().readLine();
         assertNotNull(line, id + " has no answer");
         if (line.startsWith("VA ")) {
           assertEquals("VA 5 O" + id, line);
-          assertEquals("hello", one.getKey().line());
+          assertEquals("hello", entry.getKey().readLine());
           served++;
         } else if (line.startsWith("HD ")) {
           assertEquals("HD O" + id + " c77", line);
@@ -100,16 +100,16 @@
           assertTrue(line.startsWith("SERVER_ERROR "), line);
         }
       }
-      assertNull(one.getKey().line(), "more than one answer each");
-      one.getKey().close();
+      assertNull(entry.getKey().readLine(), "more than one answer each");
+      entry.getKey().close();
     }
     return served;
   }
 
-  private void stops(int hanging) throws Exception {
+  private void stopWithOpenRequests(int hanging) throws Exception {
     List<Peers.Server> servers = new ArrayList<>();
     for (int i = 0; i < 8; i++) {
-      Function<String, String> script = i < hanging ? line -> null : this::held;
+      Function<String, String> script = i < hanging ? line -> null : this::answerWhenAllowed;
       servers.add(new Peers.Server(script));
     }
     ServeProcess node = new ServeProcess(folder, "node");
@@ -122,8 +122,8 @@
               .replace("\"give-up\":2", "\"give-up\":3"));
       Process process = node.launch();
       try {
-        InetSocketAddress address = listens(node, process);
-        List<Peers.Client> halves = new ArrayList<>();
+        InetSocketAddress address = awaitAddress(node, process);
+        List<Peers.Client> incomplete = new ArrayList<>();
         // In flight, or waiting for an identical request in flight: eight for each of five keys.
         for (int i = 0; i < 40; i++) {
           Peers.Client client = new Peers.Client(address);
@@ -143,28 +143,28 @@
           Peers.Client client = new Peers.Client(address);
           String command = write(client, "half-" + i);
           client.send(command.substring(0, 12 + i));
-          halves.add(client);
-          owed.get(client).add(command.substring(12 + i));
+          incomplete.add(client);
+          expectedIds.get(client).add(command.substring(12 + i));
         }
         long open = 40 + 50 + 60;
         Peers.await("all requests are received", () -> openRequests(node) >= open);
-        long told = System.nanoTime();
+        long signalledAt = System.nanoTime();
         ServeProcess.terminate(process);
-        for (Peers.Client client : halves) {
-          client.send(owed.get(client).remove(1));
+        for (Peers.Client client : incomplete) {
+          client.send(expectedIds.get(client).remove(1));
         }
         // New connections keep arriving for a while.
         for (int i = 0; i < 30; i++) {
           Peers.Client client = new Peers.Client(address);
           client.send(read(client, "new-" + i));
         }
-        answer.countDown();
-        int served = settle();
-        assertEquals(200, ids);
+        answersAllowed.countDown();
+        int served = checkAllAnswers();
+        assertEquals(200, lastId);
         assertTrue(served > (hanging == 0 ? 150 : 50), served + " served");
         assertTrue(process.waitFor(20, TimeUnit.SECONDS));
-        long millis = (System.nanoTime() - told) / 1_000_000;
-        assertTrue(millis < MOST_MILLIS + 5_000, "ended after " + millis + " ms");
+        long millis = (System.nanoTime() - signalledAt) / 1_000_000;
+        assertTrue(millis < MAX_STOP_MILLIS + 5_000, "ended after " + millis + " ms");
       } finally {
         process.destroyForcibly().waitFor();
       }
@@ -184,18 +184,18 @@
   }
 
   @Test
-  void withRequestsInEveryState() throws Exception {
-    stops(0);
+  void answersRequestsInEveryState() throws Exception {
+    stopWithOpenRequests(0);
   }
 
   @Test
-  void withAQuarterOfTheServersHanging() throws Exception {
-    stops(2);
+  void answersWithQuarterOfServersHanging() throws Exception {
+    stopWithOpenRequests(2);
   }
 
   @Test
-  void tenTimesInARow() throws Exception {
-    try (Peers.Server server = new Peers.Server(Peers::good);
+  void stopsTenTimesInARow() throws Exception {
+    try (Peers.Server server = new Peers.Server(Peers::successReply);
         Peers.Server hangs = new Peers.Server(line -> null);
         Peers.Server discovery = Peers.discovery(41, server, hangs)) {
       ServeProcess node = new ServeProcess(folder, "node");
@@ -204,9 +204,9 @@
         node.configure(listen, "", discovery, server, hangs);
         Process process = node.launch();
         try {
-          InetSocketAddress address = listens(node, process);
+          InetSocketAddress address = awaitAddress(node, process);
           listen = "127.0.0.1:" + address.getPort();
-          owed.clear();
+          expectedIds.clear();
           for (int j = 0; j < 10; j++) {
             Peers.Client client = new Peers.Client(address);
             client.send(read(client, "k-" + i + "-" + j).replace("d=2900", "d=400"));
@@ -216,7 +216,7 @@
             Peers.Client client = new Peers.Client(address);
             client.send(read(client, "k-" + i + "-" + j).replace("d=2900", "d=400"));
           }
-          settle();
+          checkAllAnswers();
           assertTrue(process.waitFor(20, TimeUnit.SECONDS));
           assertEquals(143, process.exitValue(), "exited normally on the signal");
         } finally {
@@ -227,25 +227,25 @@
   }
 
   @Test
-  void toldTwice() throws Exception {
-    try (Peers.Server server = new Peers.Server(this::held);
+  void secondSignalHasNoEffect() throws Exception {
+    try (Peers.Server server = new Peers.Server(this::answerWhenAllowed);
         Peers.Server discovery = Peers.discovery(41, server)) {
       ServeProcess node = new ServeProcess(folder, "node");
       node.configure("127.0.0.1:0", "", discovery, server);
       Process process = node.launch();
       try {
-        InetSocketAddress address = listens(node, process);
+        InetSocketAddress address = awaitAddress(node, process);
         Peers.Client client = new Peers.Client(address);
         client.send(read(client, "key"));
         Peers.await("the request is sent", () -> server.lines.size() == 1);
         ServeProcess.terminate(process);
-        Peers.await("the node drains", () -> drains(node));
+        Peers.await("the node drains", () -> isDraining(node));
         ServeProcess.terminate(process);
         new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor();
         Peers.Client late = new Peers.Client(address);
         late.send(read(late, "late"));
-        answer.countDown();
-        assertEquals(2, settle(), "both are served");
+        answersAllowed.countDown();
+        assertEquals(2, checkAllAnswers(), "both are served");
         assertTrue(process.waitFor(20, TimeUnit.SECONDS));
         assertEquals(143, process.exitValue());
       } finally {
@@ -254,7 +254,7 @@
     }
   }
 
-  private static boolean drains(ServeProcess node) {
+  private static boolean isDraining(ServeProcess node) {
     try {
       return node.status().flag("draining");
     } catch (IOException | WireException e) {
--- a/src/test/java/beamspread/node/UpgradeTest.java
+++ b/src/test/java/beamspread/node/UpgradeTest.java
@@ -18,7 +18,7 @@
    * Requests that may reach a connection just as it closes; the protocol has clients send them
    * again.
    */
-  private static final int CROSSINGS = 2;
+  private static final int MAX_FAILED_REQUESTS = 2;
 
   @TempDir Path folder;
 
@@ -32,14 +32,14 @@
     return node(name).launch();
   }
 
-  private Calls ready(String name) throws InterruptedException {
-    Calls[] calls = new Calls[1];
+  private ManagementClient awaitReady(String name) throws InterruptedException {
+    ManagementClient[] calls = new ManagementClient[1];
     Peers.await(
         name + " is ready",
         () -> {
           try {
             String[] at = node(name).status().requiredText("mgmt").split(":");
-            calls[0] = new Calls(new InetSocketAddress(at[0], Integer.parseInt(at[1])));
+            calls[0] = new ManagementClient(new InetSocketAddress(at[0], Integer.parseInt(at[1])));
             return calls[0].get("/_ready").status() == 200;
           } catch (IOException | WireException e) {
             return false;
@@ -48,7 +48,7 @@
     return calls[0];
   }
 
-  private static void end(Process... processes) throws InterruptedException {
+  private static void destroy(Process... processes) throws InterruptedException {
     for (Process process : processes) {
       if (process != null) {
         process.destroyForcibly().waitFor();
@@ -57,83 +57,83 @@
   }
 
   /** Sends a read on a new connection; returns whether it was served. */
-  private static boolean served(InetSocketAddress node, String id) {
+  private static boolean isServed(InetSocketAddress node, String id) {
     try (Peers.Client client = new Peers.Client(node)) {
-      return ("VA 5 O" + id).equals(client.read(id).line());
+      return ("VA 5 O" + id).equals(client.read(id).readLine());
     } catch (IOException e) {
       return false;
     }
   }
 
   @Test
-  void noRequestIsLostAndWhatIsTakenOutStaysOut() throws Exception {
-    Process old = null;
-    Process young = null;
-    try (Peers.Server server = new Peers.Server(Peers::good);
+  void upgradeLosesNoRequestAndPassesOnLearntState() throws Exception {
+    Process oldProcess = null;
+    Process newProcess = null;
+    try (Peers.Server server = new Peers.Server(Peers::successReply);
         Peers.Server discovery = Peers.discovery(41, server)) {
-      old = launch("old", "127.0.0.1:0", discovery, server);
-      ready("old");
+      oldProcess = launch("old", "127.0.0.1:0", discovery, server);
+      awaitReady("old");
       String listen = node("old").status().requiredText("listen");
       String[] at = listen.split(":");
       InetSocketAddress node = new InetSocketAddress(at[0], Integer.parseInt(at[1]));
       AtomicBoolean stop = new AtomicBoolean();
       AtomicInteger served = new AtomicInteger();
       AtomicInteger failed = new AtomicInteger();
-      Thread asker =
+      Thread requester =
           new Thread(
               () -> {
                 for (int i = 0; !stop.get() && i < 100_000; i++) {
-                  (served(node, "u" + i) ? served : failed).incrementAndGet();
+                  (isServed(node, "u" + i) ? served : failed).incrementAndGet();
                 }
               });
-      asker.start();
+      requester.start();
       try (Peers.Client kept = new Peers.Client(node)) {
         long began = System.nanoTime();
         Peers.await(
             "requests are served for long enough to learn rates",
             () -> served.get() > 50 && System.nanoTime() - began > 2_500_000_000L);
-        young = launch("young", listen, discovery, server);
-        Calls youngCalls = ready("young");
+        newProcess = launch("young", listen, discovery, server);
+        ManagementClient newClient = awaitReady("young");
         assertThat(node("young").logged("goes on with what the process before has learnt"))
             .isTrue();
         int before = served.get();
-        old.destroy();
+        oldProcess.destroy();
         // A request on a connection that stays open is answered, unless the connection was already
         // closed.
-        String answer = kept.read("kept").line();
+        String answer = kept.read("kept").readLine();
         assertThat(answer).isIn("VA 5 Okept", null);
-        assertThat(old.waitFor(20, TimeUnit.SECONDS)).isTrue();
+        assertThat(oldProcess.waitFor(20, TimeUnit.SECONDS)).isTrue();
         Peers.await("the new process serves requests", () -> served.get() > before + 200);
-        assertThat(youngCalls.get("/_vars").body().number("targets", 0)).isEqualTo(1);
+        assertThat(newClient.get("/_vars").body().number("targets", 0)).isEqualTo(1);
       } finally {
         stop.set(true);
-        asker.join(20_000);
+        requester.join(20_000);
       }
-      assertThat(failed.get()).isLessThanOrEqualTo(CROSSINGS);
-      assertThat(old.exitValue()).isIn(0, 143);
+      assertThat(failed.get()).isLessThanOrEqualTo(MAX_FAILED_REQUESTS);
+      assertThat(oldProcess.exitValue()).isIn(0, 143);
     } finally {
-      end(old, young);
+      destroy(oldProcess, newProcess);
     }
   }
 
   @Test
-  void whatIsTakenOutStaysOutWhenTheOldProcessIsKilled() throws Exception {
-    Process old = null;
-    Process young = null;
-    try (Peers.Server server = new Peers.Server(Peers::good);
+  void detachmentSurvivesKilledProcess() throws Exception {
+    Process oldProcess = null;
+    Process newProcess = null;
+    try (Peers.Server server = new Peers.Server(Peers::successReply);
         Peers.Server discovery = Peers.discovery(41, server)) {
-      old = launch("old", "127.0.0.1:0", discovery, server);
+      oldProcess = launch("old", "127.0.0.1:0", discovery, server);
       String id = "s-" + server.address().getPort();
-      assertThat(ready("old").detach(id).status()).isEqualTo(200);
-      old.destroyForcibly().waitFor();
-      young = launch("young", "127.0.0.1:0", discovery, server);
-      Calls calls = ready("young");
+      assertThat(awaitReady("old").detach(id).status()).isEqualTo(200);
+      oldProcess.destroyForcibly().waitFor();
+      newProcess = launch("young", "127.0.0.1:0", discovery, server);
+      ManagementClient calls = awaitReady("young");
       assertThat(calls.get("/_vars").body().number("targets_disabled", 0)).isEqualTo(1);
       assertThat(server.lines).isEmpty();
       assertThat(calls.attach(id).status()).isEqualTo(200);
       assertThat(calls.get("/_vars").body().number("targets_disabled", 1)).isZero();
     } finally {
-      end(old, young);
+      destroy(oldProcess, newProcess);
     }
   }
 }
--- a/src/test/java/beamspread/node/VariantNodeTest.java
+++ b/src/test/java/beamspread/node/VariantNodeTest.java
@@ -86,7 +86,7 @@
             new MemberList(true, 1, List.of(new MemberList.Member(entry, server.address()))),
             SETTINGS,
             null,
-            Peers.pool(SETTINGS, 256),
+            Peers.poolSettings(SETTINGS, 256),
             "variants",
             false,
             null,
@@ -109,13 +109,13 @@
   private static void read(Peers.Client client, String key, String id, String value)
       throws IOException {
     client.send("mg " + key + " v O" + id + " Pc=read,d=5000,x=y\r\n");
-    assertThat(client.line()).isEqualTo("VA " + value.length() + " O" + id);
-    assertThat(client.line()).isEqualTo(value);
+    assertThat(client.readLine()).isEqualTo("VA " + value.length() + " O" + id);
+    assertThat(client.readLine()).isEqualTo(value);
   }
 
   @Test
   void aVariantIsAskedForUnderItsCanonicalKeyWhileTheTableHolds() throws Exception {
-    try (Peers.Server server = new Peers.Server(Peers::good);
+    try (Peers.Server server = new Peers.Server(Peers::successReply);
         Peers.Server discovery = Peers.discovery(1, server);
         Peers.Server agent = agent(table("phone", "tablet"), 1000)) {
       Node node = node(discovery, server, agent, RULES.formatted("1", 65536, "60"));
@@ -146,7 +146,7 @@
 
   @Test
   void aWriteSplitsItsFamily() throws Exception {
-    try (Peers.Server server = new Peers.Server(Peers::good);
+    try (Peers.Server server = new Peers.Server(Peers::successReply);
         Peers.Server discovery = Peers.discovery(1, server);
         Peers.Server agent = agent(table("phone", "tablet"), 60_000)) {
       Node node = node(discovery, server, agent, RULES.formatted("20", 65536, "60"));
@@ -154,7 +154,7 @@
       try (Peers.Client client = new Peers.Client(address)) {
         Peers.await("a table holds", () -> holds(node));
         client.send("ms page/watch/9 5 O1 Pc=put,d=5000\r\nworld\r\n");
-        assertThat(client.line()).isEqualTo("HD O1 c77");
+        assertThat(client.readLine()).isEqualTo("HD O1 c77");
         read(client, "page/tablet/1", "2", "hello");
         assertThat(server.lines.get(server.lines.size() - 1)).startsWith("mg page/tablet/1 ");
       } finally {
@@ -187,8 +187,8 @@
           assertThat(asked++).isLessThan(20_000);
           for (String key : List.of("page/phone/1", "page/tablet/1")) {
             client.send("mg " + key + " v O" + key.hashCode() + asked + " Pc=read,d=5000\r\n");
-            assertThat(client.line()).startsWith("VA " + length);
-            assertThat(client.line()).hasSize(length);
+            assertThat(client.readLine()).startsWith("VA " + length);
+            assertThat(client.readLine()).hasSize(length);
           }
         }
         read(client, "page/tablet/1", "last", other);
