--- a/src/main/java/beamspread/node/Dispatcher.java
+++ b/src/main/java/beamspread/node/Dispatcher.java
@@ -13,14 +13,14 @@
 import beamspread.node.discovery.ListLog;
 import beamspread.node.discovery.ListStatus;
 import beamspread.node.discovery.MemberList;
-import beamspread.node.handover.LearntNote;
+import beamspread.node.handover.LearntJson;
 import beamspread.node.relay.ValueRelays;
 import beamspread.node.server.Attempt;
 import beamspread.node.server.Outcomes;
 import beamspread.node.server.ServerPools;
 import beamspread.node.server.ValueSink;
 import beamspread.node.server.ValueSource;
-import beamspread.node.variants.VariantTraffic;
+import beamspread.node.variants.VariantRewriter;
 import beamspread.node.wire.MetaReply;
 import beamspread.policy.Actions;
 import beamspread.policy.Balancer;
@@ -72,7 +72,7 @@
   private final Map<String, Settings.ServiceClass> types = new HashMap<>();
   private final long longestDeadlineNanos;
   private NodeConfig config;
-  private VariantTraffic variants;
+  private VariantRewriter variants;
   private int heldByOthers;
   private boolean rescuing;
   private long rescueUntil;
@@ -151,10 +151,10 @@
 
   /** Tells the module the list as it was last known, and begins to follow it. */
   void start(MemberList known) {
-    listEvidence(System.nanoTime(), ListEvidence.STARTED);
+    evidenceObserved(System.nanoTime(), ListEvidence.STARTED);
     targets.list(known, MembershipUpdate.Kind.REMEMBERED);
     if (!settings.asksForList()) {
-      discovery.follow();
+      discovery.startWatch();
     }
   }
 
@@ -165,7 +165,7 @@
   void reload(NodeConfig changed) {
     if (!changed.discovery().equals(config.discovery())) {
       log.line("discovery moves to " + changed.discovery());
-      discovery.move(changed.discovery());
+      discovery.moveTo(changed.discovery());
     }
     pools.use(changed.pool().without(heldByOthers));
     if (changed.needsRestart(config)) {
@@ -236,12 +236,12 @@
   /** What a successor had better know, null if too little is learnt yet. */
   byte[] learnt() {
     double now = clock.now();
-    return LearntNote.write(now, balancer.learnt(now));
+    return LearntJson.write(now, balancer.learnt(now));
   }
 
   /** Takes over a predecessor's note once the list is known; whether it was a good one. */
   boolean inherit(byte[] note) {
-    Learnt learnt = LearntNote.read(clock.now(), note);
+    Learnt learnt = LearntJson.read(clock.now(), note);
     if (learnt != null) {
       balancer.inherit(learnt);
     }
@@ -255,11 +255,11 @@
   ListStatus listStatus() {
     return new ListStatus(
         discovery.version(),
-        discovery.confirmedMillis(),
+        discovery.millisSinceConfirmed(),
         expiry.expired(),
         expiry.expiries(),
-        discovery.calls(),
-        listLog.failures());
+        discovery.callCount(),
+        listLog.failuresByKind());
   }
 
   /** How many requests were answered here, and by no cache server, for each cause. */
@@ -277,7 +277,7 @@
 
   /** Requests that are taken and have no final answer, or not all of it. */
   int unanswered() {
-    return open.unanswered() + relays.passing();
+    return open.unanswered() + relays.activeCount();
   }
 
   @Override
@@ -339,7 +339,7 @@
   }
 
   private void lookForClient(OpenRequest request) {
-    if (request.slot.clientLeft()) {
+    if (request.slot.clientDisconnected()) {
       intake.clientGone(request);
     }
   }
@@ -359,9 +359,9 @@
       metrics.served(request);
       metrics.replied(request.command.request.serviceClass(), Figures.Reply.SUCCESS);
       if (request.rewrite != null && reply.value() != null) {
-        variants.answered(request.rewrite, reply.value());
+        variants.valueReceived(request.rewrite, reply.value());
       }
-      request.slot.answer(reply.clientAnswer(request.slot.alloc()));
+      request.slot.answer(reply.clientAnswer(request.slot.allocator()));
     }
     ended(attempt, reply.result(), reply.note(), reply.load());
   }
@@ -384,11 +384,11 @@
     }
     // For the module the server has answered: when its first bytes came is what tells of it.
     ended(attempt, head.result(), head.note(), head.load());
-    return request.rewrite == null ? sink : variants.passing(request.rewrite, sink);
+    return request.rewrite == null ? sink : variants.hashingSink(request.rewrite, sink);
   }
 
   /** Keys are replaced by canonical ones from now on. */
-  void use(VariantTraffic traffic) {
+  void use(VariantRewriter traffic) {
     variants = traffic;
     intake.use(traffic);
   }
@@ -396,14 +396,14 @@
   // What discovery says.
 
   @Override
-  public void list(MemberList list) {
-    list.faults().forEach(listLog::fault);
-    listLog.told(list);
+  public void listReceived(MemberList list) {
+    list.faults().forEach(listLog::logFault);
+    listLog.listReceived(list);
     targets.list(list, list.full() ? MembershipUpdate.Kind.FULL : MembershipUpdate.Kind.CHANGES);
   }
 
   @Override
-  public void listEvidence(long at, ListEvidence evidence) {
+  public void evidenceObserved(long at, ListEvidence evidence) {
     events.tell(
         now -> {
           balancer.listEvidence(clock.at(at), evidence);
@@ -418,13 +418,13 @@
   }
 
   @Override
-  public void listTrouble(CallFailure failure) {
-    listLog.failed(failure);
+  public void automaticCallFailed(CallFailure failure) {
+    listLog.callFailed(failure);
   }
 
   @Override
-  public void listFailed(CallFailure failure) {
-    listLog.failed(failure);
+  public void requestedCallFailed(CallFailure failure) {
+    listLog.callFailed(failure);
     MembershipUpdate.Kind kind =
         failure.kind() == CallFailure.Kind.STATUS
             ? MembershipUpdate.Kind.OVERLOADED
@@ -545,7 +545,7 @@
   @Override
   public void subscribe(boolean on) {
     if (on) {
-      discovery.follow();
+      discovery.startWatch();
     } else {
       discovery.stop();
     }
--- a/src/main/java/beamspread/node/Node.java
+++ b/src/main/java/beamspread/node/Node.java
@@ -9,9 +9,9 @@
 import beamspread.node.mgmt.MgmtServer;
 import beamspread.node.relay.ValueRelays;
 import beamspread.node.tier.TierSocket;
-import beamspread.node.variants.TablePull;
-import beamspread.node.variants.VariantPart;
-import beamspread.node.variants.VariantTraffic;
+import beamspread.node.variants.TablePuller;
+import beamspread.node.variants.VariantConfig;
+import beamspread.node.variants.VariantRewriter;
 import beamspread.node.wire.MemoryBudget;
 import beamspread.node.wire.MetaCommand;
 import beamspread.relay.RelaySettings;
@@ -94,10 +94,10 @@
   Node(NodeConfig config) {
     this(
         config,
-        ClientConnections.Limits.usual(
+        ClientConnections.Limits.defaults(
             PoolPlan.sockets(config.sockets())
                 - PoolPlan.serverSockets(config.sockets())
-                - (config.management() == null ? 0 : MgmtServer.CONNECTIONS)),
+                - (config.management() == null ? 0 : MgmtServer.MAX_CONNECTIONS)),
         Transport.TCP);
   }
 
@@ -134,7 +134,7 @@
             .option(
                 ChannelOption.CONNECT_TIMEOUT_MILLIS,
                 (int) Math.max(1, config.settings().limits().connectTimeout() * 1e3));
-    relays = new ValueRelays(relayed, clients::idleClock);
+    relays = new ValueRelays(relayed, clients::idleClockNanos);
     dispatcher =
         new Dispatcher(
             config, loop, bootstrap, config.pool(), STUCK_NANOS, relays, watch::unreadNanos, log);
@@ -149,7 +149,7 @@
     if (listener != null) {
       // Whoever connected meanwhile is read in the next turn, when it is still known how long its
       // request may have waited.
-      SocketLook.accept(listener, clients::accepted, ACCEPT_ROUNDS);
+      SocketLook.accept(listener, clients::acceptedCount, ACCEPT_ROUNDS);
     }
   }
 
@@ -174,7 +174,7 @@
         listener.localAddress().toString().replace("/", ""),
         mgmt == null ? null : mgmt.address().toString().replace("/", ""),
         dispatcher.openRequests(),
-        clients.count(),
+        clients.openCount(),
         dispatcher.pools().sockets(),
         dispatcher.targets().states(),
         dispatcher.listStatus(),
@@ -233,7 +233,7 @@
       return 1;
     }
     if (tally) {
-      node.loop.execute(() -> node.dispatcher.tally(node.clients::count));
+      node.loop.execute(() -> node.dispatcher.tally(node.clients::openCount));
     }
     node.drained.await();
     return 0;
@@ -300,7 +300,7 @@
               allocator,
               management.listen(),
               token,
-              MgmtServer.PATIENCE_MILLIS,
+              MgmtServer.CALL_TIMEOUT_MILLIS,
               operators);
       loop.execute(() -> operators.takes(true));
       loop.scheduleWithFixedDelay(operators::look, LOOK_MILLIS, LOOK_MILLIS, TimeUnit.MILLISECONDS);
@@ -322,11 +322,11 @@
 
   /** Begins to ask for the table of variants, and to replace keys by it. */
   private void shareVariants() {
-    VariantPart part = config.variants();
+    VariantConfig part = config.variants();
     variants = new VariantKeys(part.file().settings(), part.file().rules());
-    dispatcher.use(new VariantTraffic(variants));
+    dispatcher.use(new VariantRewriter(variants));
     Bootstrap calling = transport.client().group(loop);
-    new TablePull(loop, calling, part, config.name(), variants, log::line).start();
+    new TablePuller(loop, calling, part, config.name(), variants, log::line).start();
   }
 
   private void listening(Channel channel, boolean up) {
@@ -341,7 +341,7 @@
     return new OperatorCalls.Holdings() {
       @Override
       public int clients() {
-        return clients.count();
+        return clients.openCount();
       }
 
       @Override
@@ -351,7 +351,7 @@
 
       @Override
       public void share(int otherClients, int otherServers, int open) {
-        clients.share(otherClients);
+        clients.setHeldByOtherProcesses(otherClients);
         dispatcher.share(otherServers, open);
       }
     };
@@ -379,9 +379,9 @@
   private void sweep() {
     long now = System.nanoTime();
     try {
-      clients.sweep(now);
+      clients.closeExpired(now);
       dispatcher.pools().sweep(now);
-      relays.sweep();
+      relays.closeExpired();
     } catch (RuntimeException e) {
       // A task that throws is not run again, and then nothing would end what is stuck.
       log.failure("sweep", e);
@@ -481,7 +481,7 @@
     loop.schedule(
         () -> {
           // Whoever has connected while this node did not run was told that it listens.
-          SocketLook.accept(listener, clients::accepted, ACCEPT_ROUNDS);
+          SocketLook.accept(listener, clients::acceptedCount, ACCEPT_ROUNDS);
           listener.close();
           // The socket is closed when the loop next looks at its sockets: nothing long before that.
           loop.schedule(
@@ -547,16 +547,16 @@
   }
 
   int clients() {
-    return clients.count();
+    return clients.openCount();
   }
 
   /** What has become of large values. */
   Relays relays() {
-    return relays.figures();
+    return relays.relays();
   }
 
   boolean drainsClients() {
-    return clients.draining();
+    return clients.isDraining();
   }
 
   /** Where operators call; null for nowhere. */
--- a/src/main/java/beamspread/node/NodeConfig.java
+++ b/src/main/java/beamspread/node/NodeConfig.java
@@ -3,8 +3,8 @@
 import beamspread.model.Settings;
 import beamspread.node.discovery.MemberList;
 import beamspread.node.tier.TierPart;
+import beamspread.node.variants.VariantConfig;
 import beamspread.node.variants.VariantFileReader;
-import beamspread.node.variants.VariantPart;
 import beamspread.pool.PoolSettings;
 import beamspread.sim.Dialect;
 import beamspread.sim.Message;
@@ -59,7 +59,7 @@
     String statusSocket,
     Management management,
     TierPart tier,
-    VariantPart variants) {
+    VariantConfig variants) {
 
   /**
    * The part of the descriptors that open requests may take: three quarters of what clients hold at
@@ -116,8 +116,8 @@
     int sockets = (int) limits.requiredNumber("sockets");
     settings = settings.with(settings.limits().open(Math.max(8, sockets / OPEN_PART)));
     return new NodeConfig(
-        MemberList.listenAddress(config.requiredText("listen")),
-        MemberList.address(config.requiredText("discovery")),
+        MemberList.parseListenAddress(config.requiredText("listen")),
+        MemberList.parseAddress(config.requiredText("discovery")),
         seed(config.requiredText("seed")),
         sockets,
         (int) limits.requiredNumber("memory_mb"),
@@ -152,7 +152,7 @@
     List<InetSocketAddress> peers = new ArrayList<>();
     for (String peer : config.texts("peers")) {
       try {
-        peers.add(MemberList.address(peer));
+        peers.add(MemberList.parseAddress(peer));
       } catch (WireException e) {
         throw new WireException("peers: " + e.getMessage());
       }
@@ -164,7 +164,7 @@
     InetSocketAddress listen;
     Card card;
     try {
-      listen = MemberList.listenAddress(config.requiredText("peer_listen"));
+      listen = MemberList.parseListenAddress(config.requiredText("peer_listen"));
       card = new Card(config.text("name", "node"), settings.zone(), VERSION);
     } catch (WireException e) {
       throw new WireException("peer_listen: " + e.getMessage());
@@ -175,7 +175,7 @@
   }
 
   /** Where the operators' file says which keys are variants of one another; else null. */
-  private static VariantPart variants(Message config, Settings settings) throws WireException {
+  private static VariantConfig variants(Message config, Settings settings) throws WireException {
     String file = config.text("variants_file", null);
     if (file == null) {
       return null;
@@ -191,11 +191,11 @@
     }
     SocketAddress agent;
     try {
-      agent = MemberList.address(config.requiredText("variants_agent"));
+      agent = MemberList.parseAddress(config.requiredText("variants_agent"));
     } catch (WireException e) {
       throw new WireException("variants_agent: " + e.getMessage());
     }
-    return new VariantPart(read, agent, token(config, "variants_token_file"));
+    return new VariantConfig(read, agent, token(config, "variants_token_file"));
   }
 
   /** Only requests whose effect may be repeated may be asked under another key. */
@@ -218,7 +218,7 @@
     }
     SocketAddress address;
     try {
-      address = MemberList.listenAddress(listen);
+      address = MemberList.parseListenAddress(listen);
     } catch (WireException e) {
       throw new WireException("mgmt: " + e.getMessage());
     }
--- a/src/main/java/beamspread/node/OpenRequest.java
+++ b/src/main/java/beamspread/node/OpenRequest.java
@@ -9,7 +9,7 @@
 /** A request that this node has taken, from its last byte to its final answer and last outcome. */
 final class OpenRequest {
   final MetaCommand command;
-  final ClientHandler.Slot slot;
+  final ClientHandler.AnswerSlot slot;
   final long deadlineNanos;
   private final long takenNanos;
   final List<RequestAttempt> attempts = new ArrayList<>(1);
@@ -23,7 +23,8 @@
   /** Whether the final answer is given, or the client has gone. */
   boolean ended;
 
-  OpenRequest(MetaCommand command, ClientHandler.Slot slot, long takenNanos, long deadlineNanos) {
+  OpenRequest(
+      MetaCommand command, ClientHandler.AnswerSlot slot, long takenNanos, long deadlineNanos) {
     this.takenNanos = takenNanos;
     this.command = command;
     this.slot = slot;
--- a/src/main/java/beamspread/node/OpenRequests.java
+++ b/src/main/java/beamspread/node/OpenRequests.java
@@ -72,7 +72,7 @@
     if (request != null && !request.ended) {
       over(request);
       metrics.notServed(request, reply);
-      request.slot.line(answer);
+      request.slot.answerLine(answer);
       settle(request);
     }
   }
--- a/src/main/java/beamspread/node/OperatorCalls.java
+++ b/src/main/java/beamspread/node/OperatorCalls.java
@@ -71,13 +71,13 @@
     if (folder == null) {
       return;
     }
-    SharedFolder.Sight sight;
+    SharedFolder.Snapshot sight;
     try {
       record();
-      folder.show(
-          new SharedFolder.Shown(
+      folder.publish(
+          new SharedFolder.ProcessStatus(
               phase, holdings.clients(), holdings.servers(), dispatcher.unanswered()));
-      sight = folder.look();
+      sight = folder.scan();
     } catch (IOException e) {
       if (!troubled) {
         log.failure("shared folder", e);
@@ -86,27 +86,31 @@
       return;
     }
     troubled = false;
-    othersTake = sight.othersTake();
-    if (sight.others().size() != others) {
-      others = sight.others().size();
+    othersTake = sight.otherAcceptsClients();
+    if (sight.otherProcesses().size() != others) {
+      others = sight.otherProcesses().size();
       log.line(others + " other processes of this node run");
     }
     holdings.share(
-        sight.others().stream().mapToInt(SharedFolder.Shown::clients).sum(),
-        sight.others().stream().mapToInt(SharedFolder.Shown::servers).sum(),
-        sight.others().stream().mapToInt(SharedFolder.Shown::open).sum());
+        sight.otherProcesses().stream()
+            .mapToInt(SharedFolder.ProcessStatus::clientConnections)
+            .sum(),
+        sight.otherProcesses().stream()
+            .mapToInt(SharedFolder.ProcessStatus::serverConnections)
+            .sum(),
+        sight.otherProcesses().stream().mapToInt(SharedFolder.ProcessStatus::openRequests).sum());
     if (phase == SharedFolder.Phase.TAKES && others > 0) {
       leaveLearnt();
     }
     Detachments detachments = dispatcher.targets().detachments();
     Set<Long> here = detachments.detached();
-    for (long server : sight.detached()) {
+    for (long server : sight.detachedServers()) {
       if (!here.contains(server) && detachments.hasRoom()) {
         dispatcher.targets().detach(server);
       }
     }
     for (long server : here) {
-      if (!sight.detached().contains(server)) {
+      if (!sight.detachedServers().contains(server)) {
         dispatcher.targets().attach(server);
       }
     }
@@ -119,7 +123,7 @@
       return;
     }
     try {
-      folder.leaveLearnt(note);
+      folder.writeLearnt(note);
     } catch (IOException e) {
       log.failure("note to a successor", e);
     }
@@ -131,7 +135,7 @@
       return;
     }
     try {
-      byte[] note = folder.learnt();
+      byte[] note = folder.readLearnt();
       if (note != null && dispatcher.inherit(note)) {
         log.line("goes on with what the process before has learnt");
       }
@@ -154,7 +158,7 @@
   }
 
   @Override
-  public String figures() {
+  public String metrics() {
     Figures figures = dispatcher.figures();
     Detachments detachments = dispatcher.targets().detachments();
     return Json.object(
@@ -177,13 +181,13 @@
 
   @Override
   public Answer detach(String id) {
-    long server = MemberList.number(id);
+    long server = MemberList.serverNumber(id);
     Detachments detachments = dispatcher.targets().detachments();
     if (!detachments.knows(server)) {
       return unknown(id);
     }
     if (!detachments.hasRoom() && !detachments.isDetached(server)) {
-      return Answer.no(
+      return Answer.error(
           HttpResponseStatus.CONFLICT, Detachments.MOST + " cache servers are out: attach some");
     }
     // First here, so that it holds at once whatever becomes of the record.
@@ -194,7 +198,7 @@
         folder.detach(server);
       } catch (IOException e) {
         unrecorded.add(server);
-        return Answer.no(
+        return Answer.error(
             HttpResponseStatus.INTERNAL_SERVER_ERROR,
             "out in this process, not on record for another: " + e.getMessage());
       }
@@ -204,7 +208,7 @@
 
   @Override
   public Answer attach(String id) {
-    long server = MemberList.number(id);
+    long server = MemberList.serverNumber(id);
     if (!dispatcher.targets().detachments().knows(server)) {
       return unknown(id);
     }
@@ -213,7 +217,7 @@
         folder.attach(server);
       } catch (IOException e) {
         // Still on record as out: if it were used here, the next look would take it out again.
-        return Answer.no(
+        return Answer.error(
             HttpResponseStatus.INTERNAL_SERVER_ERROR, "still out, on record: " + e.getMessage());
       }
     }
@@ -224,7 +228,8 @@
   }
 
   private static Answer unknown(String id) {
-    return Answer.no(HttpResponseStatus.NOT_FOUND, "no cache server '" + id + "' was ever listed");
+    return Answer.error(
+        HttpResponseStatus.NOT_FOUND, "no cache server '" + id + "' was ever listed");
   }
 
   private static Answer yes(String id, boolean used) {
--- a/src/main/java/beamspread/node/Rehearsal.java
+++ b/src/main/java/beamspread/node/Rehearsal.java
@@ -166,7 +166,7 @@
                 : new NodeConfig.Management(address("mgmt"), null, folder.resolve("shared")),
             null,
             null);
-    Node node = new Node(rehearsed, ClientConnections.Limits.usual(8), Transport.DOMAIN);
+    Node node = new Node(rehearsed, ClientConnections.Limits.defaults(8), Transport.DOMAIN);
     try {
       EventLoop loop = node.loop();
       MemoryBudget budget = new MemoryBudget(1 << 16);
--- a/src/main/java/beamspread/node/RequestIntake.java
+++ b/src/main/java/beamspread/node/RequestIntake.java
@@ -4,8 +4,8 @@
 import beamspread.maintenance.Figures;
 import beamspread.model.Request;
 import beamspread.node.client.ClientHandler;
-import beamspread.node.client.Requests;
-import beamspread.node.variants.VariantTraffic;
+import beamspread.node.client.RequestHandler;
+import beamspread.node.variants.VariantRewriter;
 import beamspread.node.wire.MetaCommand;
 import beamspread.overload.ConcurrencyLimit;
 import beamspread.overload.DeadlineReserve;
@@ -23,7 +23,7 @@
  * begins behind all that became due in the stall. What is too old, or more than a process that
  * stalls should have in progress, is refused at once: it was never sent on.
  */
-final class RequestIntake implements Requests {
+final class RequestIntake implements RequestHandler {
   /** With less time than this no attempt begins after a stall: hardly an answer comes so soon. */
   private static final long LEAST_WAIT_NANOS = 50_000_000L;
 
@@ -40,7 +40,7 @@
   private final ConcurrencyLimit limit = new ConcurrencyLimit();
 
   /** Requests' keys; null where they stay as they are. */
-  private VariantTraffic variants;
+  private VariantRewriter variants;
 
   /** When this process gives its last answers, on the clock of {@link System#nanoTime()}. */
   private long endsAt;
@@ -65,7 +65,7 @@
   }
 
   /** Keys are replaced by canonical ones from now on. */
-  void use(VariantTraffic traffic) {
+  void use(VariantRewriter traffic) {
     variants = traffic;
   }
 
@@ -83,7 +83,8 @@
   }
 
   @Override
-  public Taken request(MetaCommand command, ClientHandler.Slot slot, long unreadNanos) {
+  public AcceptedRequest accept(
+      MetaCommand command, ClientHandler.AnswerSlot slot, long unreadNanos) {
     long now = System.nanoTime();
     if (unreadNanos == 0) {
       return begin(command, slot, now, now);
@@ -95,14 +96,14 @@
   }
 
   /** A request that begins once all that is overdue has been dealt with. */
-  private final class Deferred implements Taken, Runnable {
+  private final class Deferred implements AcceptedRequest, Runnable {
     private final MetaCommand command;
-    private final ClientHandler.Slot slot;
+    private final ClientHandler.AnswerSlot slot;
     private final long sentAt;
-    private Taken begun;
+    private AcceptedRequest begun;
     private boolean clientGone;
 
-    Deferred(MetaCommand command, ClientHandler.Slot slot, long sentAt) {
+    Deferred(MetaCommand command, ClientHandler.AnswerSlot slot, long sentAt) {
       this.command = command;
       this.slot = slot;
       this.sentAt = sentAt;
@@ -133,10 +134,11 @@
    * @param sentAt the earliest time at which its client can have sent it
    * @return null if it was answered at once
    */
-  private Taken begin(MetaCommand command, ClientHandler.Slot slot, long sentAt, long now) {
+  private AcceptedRequest begin(
+      MetaCommand command, ClientHandler.AnswerSlot slot, long sentAt, long now) {
     if (open.get(command.request.id()) != null) {
       command.release();
-      slot.line("CLIENT_ERROR id in use");
+      slot.answerLine("CLIENT_ERROR id in use");
       return null;
     }
     long wait = remaining(command.request, now, sentAt);
@@ -144,11 +146,11 @@
     if (tooOld || !limit.admits(now, open.unanswered())) {
       metrics.refusedEarly(command.request);
       command.release();
-      slot.line(BUSY);
+      slot.answerLine(BUSY);
       return null;
     }
     wait -= reserve.nanos(now, wait);
-    VariantKeys.Rewrite rewrite = variants == null ? null : variants.asks(command);
+    VariantKeys.Rewrite rewrite = variants == null ? null : variants.rewrite(command);
     boolean other = rewrite != null && !rewrite.key().equals(command.request.key());
     MetaCommand asked = other ? command.about(rewrite.key()) : command;
     OpenRequest request = new OpenRequest(asked, slot, sentAt, now + wait);
@@ -166,7 +168,7 @@
     return Math.max(0, wait);
   }
 
-  private Taken begin(OpenRequest request, long wait) {
+  private AcceptedRequest begin(OpenRequest request, long wait) {
     Request whole = request.command.request;
     long asked = (long) (whole.budget() * 1e9);
     Request known = wait < asked ? whole.within(wait / 1e9) : whole;
@@ -180,7 +182,7 @@
     try {
       balancer.request(at, known);
     } catch (RuntimeException | VirtualMachineError e) {
-      report("decision module", e);
+      reportError("decision module", e);
       open.fail(request);
     }
   }
@@ -203,12 +205,12 @@
   }
 
   @Override
-  public void refused(String serviceClass) {
+  public void requestRefused(String serviceClass) {
     metrics.replied(serviceClass, Figures.Reply.OVERLOAD);
   }
 
   @Override
-  public void report(String where, Throwable cause) {
+  public void reportError(String where, Throwable cause) {
     log.failure(where, cause);
   }
 }
--- a/src/main/java/beamspread/node/client/ClientConnections.java
+++ b/src/main/java/beamspread/node/client/ClientConnections.java
@@ -6,31 +6,32 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 
-/** All connections of clients: which are idle, and which must give way. */
+/** All client connections: tracks which are idle, and which are closed to make room. */
 public final class ClientConnections {
   /**
-   * What bounds the clients' connections.
+   * Limits on client connections.
    *
-   * @param connections how many may be open
-   * @param commandNanos how long a command may take to come, and the first one to begin: a slow
-   *     client takes 2 s for a head, a silent one is to be told within 3 s
-   * @param idleNanos how long one is kept between requests while there are few
-   * @param crowdedNanos how long one is kept between requests while there are many
-   * @param stallNanos how long a client may read nothing of what waits for it
-   * @param lingerNanos how long a client that was turned away has to read why
+   * @param maxConnections maximum number of open connections
+   * @param commandTimeoutNanos time within which a command has to be complete, and the first one
+   *     has to begin: a slow client takes 2 s for a command line, a silent one has to get an error
+   *     within 3 s
+   * @param idleTimeoutNanos how long an idle connection is kept while few are open
+   * @param crowdedIdleTimeoutNanos how long an idle connection is kept while many are open
+   * @param stallTimeoutNanos how long a client may read none of the data that is queued for it
+   * @param lingerTimeoutNanos how long a rejected client has to read the error line
    */
   public record Limits(
-      int connections,
-      long commandNanos,
-      long idleNanos,
-      long crowdedNanos,
-      long stallNanos,
-      long lingerNanos) {
-
-    /** What a node has, for this many connections. */
-    public static Limits usual(int connections) {
+      int maxConnections,
+      long commandTimeoutNanos,
+      long idleTimeoutNanos,
+      long crowdedIdleTimeoutNanos,
+      long stallTimeoutNanos,
+      long lingerTimeoutNanos) {
+
+    /** Returns the limits of a node with this many connections. */
+    public static Limits defaults(int maxConnections) {
       return new Limits(
-          connections,
+          maxConnections,
           2_500_000_000L,
           10_000_000_000L,
           100_000_000L,
@@ -39,37 +40,44 @@
     }
   }
 
-  /** A client that means to ask does so within this time: the way there and some to spare. */
-  private static final long FRESH_NANOS = 50_000_000L;
+  /**
+   * Age up to which a connection without commands is evicted only if none is idle: the time that a
+   * first command takes over the network, with some reserve.
+   */
+  private static final long FIRST_COMMAND_GRACE_NANOS = 50_000_000L;
 
-  /** Up to a third of its connections a node has few, from two thirds on many. */
-  private static final Rest REST = new Rest(1 / 3.0, 2 / 3.0);
+  /** Idle timeouts shrink while between one third and two thirds of the connections are open. */
+  private static final Rest IDLE_TIMEOUT_SCALE = new Rest(1 / 3.0, 2 / 3.0);
 
   private final Limits limits;
-  private final LoopWatch watch;
+  private final LoopWatch loopWatch;
   private final LinkedHashSet<ClientHandler> open = new LinkedHashSet<>();
 
-  /** Those that have asked for nothing yet, oldest first. */
+  /** Connections without any command so far, oldest first. */
   private final LinkedHashSet<ClientHandler> fresh = new LinkedHashSet<>();
 
-  /** Those between requests, longest idle first. */
+  /** Connections between requests, longest idle first. */
   private final LinkedHashSet<ClientHandler> idle = new LinkedHashSet<>();
 
-  /** Those that were turned away and only wait for their end. */
+  /** Rejected connections that wait for the client to read the error line. */
   private final LinkedHashSet<ClientHandler> lingering = new LinkedHashSet<>();
 
   private volatile boolean draining;
-  private long takenUntil;
-  private Runnable whenEmpty;
-  private long accepted;
+  private long drainDeadlineNanos;
+  private Runnable onEmpty;
+  private long acceptedCount;
 
-  /** Connections that other processes of this node hold. */
-  private int heldByOthers;
+  /** Client connections of other processes of this node. */
+  private int heldByOtherProcesses;
 
-  /** None yet; the watch is that of the event loop that they are on. */
-  public ClientConnections(Limits limits, LoopWatch watch) {
+  /**
+   * Creates an empty set of connections.
+   *
+   * @param loopWatch the watch of the event loop that the connections run on
+   */
+  public ClientConnections(Limits limits, LoopWatch loopWatch) {
     this.limits = limits;
-    this.watch = watch;
+    this.loopWatch = loopWatch;
   }
 
   Limits limits() {
@@ -77,182 +85,189 @@
   }
 
   /**
-   * Leaves other processes of this node what they hold, but keeps at least half. Nothing that is
-   * open ends for it: what is beyond gives way to new connections, or falls idle.
+   * Reduces the maximum by the connections of other processes of this node, down to one half. No
+   * open connection is closed for that: excess connections are evicted by new ones, or time out
+   * when idle.
    *
-   * @param held connections that the others hold
+   * @param held number of client connections of the other processes
    */
-  public void share(int held) {
-    heldByOthers = held;
+  public void setHeldByOtherProcesses(int held) {
+    heldByOtherProcesses = held;
   }
 
-  /** Nanoseconds that leave out the time in which the event loop did not run. */
-  public long idleClock() {
+  /** Returns a clock in nanoseconds that excludes stalls of the event loop. */
+  public long idleClockNanos() {
     long now = System.nanoTime();
-    return now - watch.lostNanos(now);
+    return now - loopWatch.lostNanos(now);
   }
 
-  /** How long what is read now may have lain in its socket, 0 where the loop keeps up. */
-  long unreadNanos(long now) {
-    return watch.unreadNanos(now);
+  /** Returns how long data that is read now can have been unread; 0 if the loop is not late. */
+  long maxUnreadNanos(long now) {
+    return loopWatch.unreadNanos(now);
   }
 
-  /** The number of the event loop's turn. */
-  long turn() {
-    return watch.turn();
+  /** Returns the number of the event loop's current turn. */
+  long loopTurn() {
+    return loopWatch.turn();
   }
 
-  private int most() {
-    int all = limits.connections();
-    return Math.max(1, Math.max(all / 2, all - heldByOthers));
+  private int maxOpen() {
+    int max = limits.maxConnections();
+    return Math.max(1, Math.max(max / 2, max - heldByOtherProcesses));
   }
 
   /**
-   * How long a connection is kept between requests: the fuller, the shorter. Guards against clients
-   * that ask once and keep their connection: these use up what all clients together may hold, long
-   * before this node runs out, and then others have none to ask on. Should cover pools that are
-   * left open as well. With few connections open nothing is closed early, since a new one costs
-   * both sides work, and a close may cross a request, which then comes late or, where this node
-   * stands still meanwhile, not at all; it could do harm where many clients ask again after a
-   * moment.
+   * Returns how long an idle connection is kept; the more connections are open, the shorter.
+   *
+   * <p>Clients that send one request and keep their connection would use up the connections that
+   * all clients together may have, long before this node reaches its own limit, so that other
+   * clients get none. The same holds for connection pools that are left open. With few connections
+   * open none is closed early, since a new connection costs work on both sides, and a close may
+   * cross a request, which is then late or, if this node stalls meanwhile, lost. A short timeout is
+   * harmful if many clients send their next request after a short pause.
    */
-  long restNanos() {
-    double full = (double) open.size() / most();
-    return REST.nanos(full, limits.idleNanos(), limits.crowdedNanos());
+  long idleTimeoutNanos() {
+    double fillRatio = (double) open.size() / maxOpen();
+    return IDLE_TIMEOUT_SCALE.nanos(
+        fillRatio, limits.idleTimeoutNanos(), limits.crowdedIdleTimeoutNanos());
   }
 
   /**
-   * Takes a new connection in; false if there is no room. Guards against running out of
-   * descriptors: whoever waits least for an answer gives way, and no request that is open ever
-   * does. It could do harm to clients that connect long before they ask; these connect again.
+   * Adds a new connection; returns false if there is no room for it. At the maximum, which keeps
+   * the process from running out of descriptors, the connection least likely to be in use is
+   * evicted, but never one with an open request. Clients that connect long before their first
+   * request may have to reconnect.
    */
-  boolean opened(ClientHandler client) {
-    accepted++;
-    boolean room = open.size() < most() || makeRoom();
+  boolean register(ClientHandler client) {
+    acceptedCount++;
+    boolean hasRoom = open.size() < maxOpen() || makeRoom();
     open.add(client);
-    if (room) {
+    if (hasRoom) {
       fresh.add(client);
     }
-    return room;
+    return hasRoom;
   }
 
   /**
-   * Ends whoever waits least. Guards with a look at each against ending one that has asked while
-   * this node did not run: its request lies in the socket, and is taken instead.
+   * Closes one connection that no request uses. Each candidate's socket is read first, since its
+   * client may have sent a request while the event loop was stalled; that request is then accepted.
    */
   private boolean makeRoom() {
-    ClientHandler last = first(lingering);
-    if (last != null) {
-      forget(last);
-      last.dropLingering();
+    ClientHandler candidate = first(lingering);
+    if (candidate != null) {
+      remove(candidate);
+      candidate.closeLingering();
       return true;
     }
-    // Who has asked is busy after a look, or behind all others, so that each is looked at once.
-    for (int looks = fresh.size() + idle.size(); looks > 0; looks--) {
-      last = leastWaiting();
-      if (last == null) {
+    // After the read, a client with a request is busy or last in order, so each is read once.
+    for (int checksLeft = fresh.size() + idle.size(); checksLeft > 0; checksLeft--) {
+      candidate = evictionCandidate();
+      if (candidate == null) {
         return false;
       }
-      if (last.looksQuiet()) {
-        forget(last);
-        last.drop();
+      if (candidate.isQuietAfterRead()) {
+        remove(candidate);
+        candidate.closeNow();
         return true;
       }
     }
     return false;
   }
 
-  private ClientHandler leastWaiting() {
-    ClientHandler last = first(fresh);
-    if (last != null && idleClock() - last.restsSince() < FRESH_NANOS && !idle.isEmpty()) {
-      last = null;
+  private ClientHandler evictionCandidate() {
+    ClientHandler candidate = first(fresh);
+    if (candidate != null
+        && idleClockNanos() - candidate.idleSinceNanos() < FIRST_COMMAND_GRACE_NANOS
+        && !idle.isEmpty()) {
+      candidate = null;
     }
-    return last == null ? first(idle) : last;
+    return candidate == null ? first(idle) : candidate;
   }
 
-  private static ClientHandler first(LinkedHashSet<ClientHandler> set) {
-    Iterator<ClientHandler> first = set.iterator();
-    return first.hasNext() ? first.next() : null;
+  private static ClientHandler first(LinkedHashSet<ClientHandler> clients) {
+    Iterator<ClientHandler> iterator = clients.iterator();
+    return iterator.hasNext() ? iterator.next() : null;
   }
 
-  void busy(ClientHandler client) {
+  void markBusy(ClientHandler client) {
     fresh.remove(client);
     idle.remove(client);
   }
 
-  /** Nothing is owed to the client, and it has asked before. */
-  void idle(ClientHandler client) {
+  /** Marks a connection as idle, or closes it in a drain; all its requests are answered. */
+  void markIdle(ClientHandler client) {
     if (draining) {
-      client.leave();
+      client.closeAfterAnswers();
     } else {
       idle.add(client);
     }
   }
 
-  void lingers(ClientHandler client) {
-    busy(client);
+  void markLingering(ClientHandler client) {
+    markBusy(client);
     lingering.add(client);
   }
 
-  void closed(ClientHandler client) {
-    forget(client);
+  void onClosed(ClientHandler client) {
+    remove(client);
     if (draining && open.isEmpty()) {
-      whenEmpty.run();
+      onEmpty.run();
     }
   }
 
-  private void forget(ClientHandler client) {
+  private void remove(ClientHandler client) {
     open.remove(client);
-    busy(client);
+    markBusy(client);
     lingering.remove(client);
   }
 
-  /** Ends what has outlived its time. */
-  public void sweep(long now) {
+  /** Closes connections whose time limits have passed. */
+  public void closeExpired(long now) {
     for (ClientHandler client : List.copyOf(open)) {
-      client.sweep(now);
+      client.closeIfExpired(now);
     }
   }
 
-  /** How many are open. */
-  public int count() {
+  /** Returns the number of open connections. */
+  public int openCount() {
     return open.size();
   }
 
-  /** How many have ever been accepted. */
-  public long accepted() {
-    return accepted;
+  /** Returns the number of connections accepted since the start. */
+  public long acceptedCount() {
+    return acceptedCount;
   }
 
-  /** Whether a planned restart ends them. */
-  public boolean draining() {
+  /** Returns whether connections are being drained for a planned restart. */
+  public boolean isDraining() {
     return draining;
   }
 
   /**
-   * Whether a request with so much time can still be answered here. Guards a request that is found
-   * late in a drain: what this node may not live to answer is refused, and can go elsewhere.
+   * Returns whether a request with this budget is due before this process ends. In a drain other
+   * requests are refused, so that the client can send them to another node.
    *
-   * @param budget seconds
+   * @param budgetSeconds the time until the request's deadline, in seconds
    */
-  boolean mayTake(double budget) {
-    return !draining || System.nanoTime() + (long) (budget * 1e9) - takenUntil <= 0;
+  boolean canAnswerInTime(double budgetSeconds) {
+    return !draining || System.nanoTime() + (long) (budgetSeconds * 1e9) - drainDeadlineNanos <= 0;
   }
 
   /**
-   * From now on closes each connection as it falls idle; runs the step when none is left.
+   * Closes each connection as soon as it is idle.
    *
-   * @param until when this node ends at the latest, on the clock of {@link System#nanoTime()}
+   * @param deadlineNanos when this process ends at the latest, as of {@link System#nanoTime()}
+   * @param afterDrain runs when no connection is left
    */
-  public void drain(long until, Runnable then) {
+  public void drain(long deadlineNanos, Runnable afterDrain) {
     draining = true;
-    takenUntil = until;
-    whenEmpty = then;
+    drainDeadlineNanos = deadlineNanos;
+    onEmpty = afterDrain;
     for (ClientHandler client : List.copyOf(open)) {
       client.drain();
     }
     if (open.isEmpty()) {
-      then.run();
+      afterDrain.run();
     }
   }
 }
--- a/src/main/java/beamspread/node/client/ClientHandler.java
+++ b/src/main/java/beamspread/node/client/ClientHandler.java
@@ -14,191 +14,198 @@
 import java.util.ArrayDeque;
 
 /**
- * A client's connection: takes its commands and gives the answers in their order. It ends one
- * between requests only once a look at its socket has found nothing more: what lies there was sent
- * to a node that still listened, and would be lost.
+ * Handles one client connection: accepts its commands and writes the answers in the same order. An
+ * idle connection is closed only after a last read of its socket has found nothing: a request that
+ * is in the socket then was sent while the connection was open, and would be lost.
  */
 public final class ClientHandler extends ChannelInboundHandlerAdapter {
   /**
-   * Requests that one connection may have open: as many as a cache server takes on one. Guards
-   * against a client that sends more than it waits for; what goes beyond is refused, truthfully.
+   * Maximum open requests of one connection, the same as a cache server accepts on one. Further
+   * requests of a client that sends without waiting for answers are refused.
    */
-  private static final int MAX_OPEN = 32;
+  private static final int MAX_OPEN_REQUESTS = 32;
 
-  /** Answers that one connection may be owed before no more of its commands are taken. */
-  private static final int MAX_OWED = 256;
+  /** Pending answers of one connection at which no more commands are decoded. */
+  private static final int MAX_PENDING_ANSWERS = 256;
 
-  /** Bytes that wait unread behind so many owed answers before the client is turned away. */
-  private static final int MAX_HELD = 1 << 16;
+  /** Undecoded bytes behind that many commands above which the client is rejected. */
+  private static final int MAX_HELD_BYTES = 1 << 16;
 
-  /** What was read so lately is not looked at again: the time of a turn with little to do. */
-  private static final long JUST_READ_NANOS = 2_000_000L;
+  /** A socket read within this time is not read again; about one turn of a lightly loaded loop. */
+  private static final long RECENT_READ_NANOS = 2_000_000L;
 
-  /** Pieces that one look reads to find the close behind them. */
-  private static final int LOOK_PIECES = 8;
+  /** Maximum reads of a socket to find a close behind the data. */
+  private static final int MAX_READS_PER_CHECK = 8;
 
-  /** In a drain, how long a command that has begun to come may take to be whole. */
-  private static final long DRAIN_COMMAND_NANOS = 300_000_000L;
+  /** Time within which a command that was received in part has to be complete, in a drain. */
+  private static final long DRAIN_COMMAND_TIMEOUT_NANOS = 300_000_000L;
 
   /**
-   * Commands in a row that make no sense before the client is turned away. Guards against a peer
-   * that speaks another language at full speed; a client with a bug in some requests stays.
+   * Consecutive invalid commands after which the client is rejected. Stops a peer that sends
+   * another protocol at full speed; a client with a bug in some requests stays connected.
    */
-  private static final int MAX_STRIKES = 16;
+  private static final int MAX_CONSECUTIVE_INVALID = 16;
 
-  private final Requests requests;
+  private final RequestHandler requestHandler;
   private final ClientConnections connections;
   private final MetaCommand.Decoder decoder;
-  private final ArrayDeque<Slot> slots = new ArrayDeque<>();
+  private final ArrayDeque<AnswerSlot> answerSlots = new ArrayDeque<>();
   private Channel channel;
 
-  /** Since when it is fresh or idle, on the clock that leaves out pauses of the loop. */
-  private long restsSince;
+  /**
+   * When the connection was opened or became idle, on {@link ClientConnections#idleClockNanos()}.
+   */
+  private long idleSinceNanos;
 
-  /** Since when it lingers or closes. */
-  private long endsSince;
+  /** When lingering or closing began. */
+  private long closingSinceNanos;
 
-  private long midwaySince;
+  /** When the command that is received in part began; 0 if there is none. */
+  private long partialSinceNanos;
 
-  /** Since when it has taken nothing of what is written, 0 while it takes what there is. */
-  private long stalledSince;
+  /** When the client last read queued data; 0 while the channel is writable. */
+  private long stalledSinceNanos;
 
-  /** How far it is from taking more. */
-  private long stalledAt;
+  /** The channel's bytes before writable at the last check. */
+  private long lastBytesBeforeWritable;
 
-  private int strikes;
+  /** Invalid commands since the last valid one. */
+  private int consecutiveInvalid;
 
-  /** The earliest time at which it can have connected; 0 where it was accepted as it came. */
-  private final long connectedSince;
+  /** The earliest time at which the client can have connected; 0 if the loop was not late. */
+  private final long earliestConnectNanos;
 
-  private final long acceptedInTurn;
+  private final long acceptedInLoopTurn;
 
-  /** Whether it has asked for anything yet. */
-  private boolean spoke;
+  /** Whether any command was received. */
+  private boolean hasSentCommand;
 
-  /** When all that had come was last read, and whether it is being read now. */
-  private long readAt = System.nanoTime();
+  /** When the socket was last read until empty. */
+  private long lastReadNanos = System.nanoTime();
 
+  /** Whether the socket is being read now. */
   private boolean reading;
 
-  /** Whether a command has come since the last look. */
-  private boolean heard;
+  /** Whether a command was received since {@link #isQuietAfterRead()} began. */
+  private boolean commandReceived;
 
-  /** Whether it is to end as soon as all is written and nothing more has come. */
-  private boolean leaving;
+  /** Whether the connection closes once all answers are written, unless a command arrives. */
+  private boolean closeScheduled;
 
-  /** Whether no more commands are taken: the last answer is given or waits for those before it. */
+  /** Whether no more commands are accepted: the last answer is written or queued. */
   private boolean closing;
 
-  /** Whether all is written, and only the client's end is waited for. */
+  /** Whether all answers are written and the client has yet to close. */
   private boolean lingering;
 
-  /** A handler for one connection, behind its decoder. */
+  /** Creates the handler of one connection; it follows the decoder in the pipeline. */
   public ClientHandler(
-      Requests requests, ClientConnections connections, MetaCommand.Decoder decoder) {
-    this.requests = requests;
+      RequestHandler requestHandler, ClientConnections connections, MetaCommand.Decoder decoder) {
+    this.requestHandler = requestHandler;
     this.connections = connections;
     this.decoder = decoder;
-    restsSince = connections.idleClock();
+    idleSinceNanos = connections.idleClockNanos();
     long now = System.nanoTime();
-    long unread = connections.unreadNanos(now);
-    connectedSince = unread == 0 ? 0 : now - unread;
-    acceptedInTurn = connections.turn();
+    long maxUnreadNanos = connections.maxUnreadNanos(now);
+    earliestConnectNanos = maxUnreadNanos == 0 ? 0 : now - maxUnreadNanos;
+    acceptedInLoopTurn = connections.loopTurn();
   }
 
-  /** Who gives an answer in parts. */
-  public interface Giver {
-    /** The answers before this one are with the client. */
-    void turn();
+  /** Is notified of the progress of an answer that is written in parts. */
+  public interface StreamListener {
+    /** Called when all answers before this one are written. */
+    void slotReached();
 
-    /** The client has taken so many bytes of the parts. */
-    void taken(int bytes);
+    /** Called when this many bytes of the parts were written to the socket. */
+    void bytesWritten(int bytes);
 
-    /** The client has gone; nothing more is told. */
+    /** Called when the client has disconnected; no call follows. */
     void clientGone();
   }
 
-  /** The place of one answer in the order of a connection's answers. */
-  public final class Slot {
-    private Requests.Taken request;
+  /** The position of one answer in the order of a connection's answers. */
+  public final class AnswerSlot {
+    private RequestHandler.AcceptedRequest request;
 
-    /** The parts that wait for their turn, null for an answer that is given whole. */
+    /** Queued parts; null for an answer that is given whole. */
     private ArrayDeque<ByteBuf> parts;
 
-    private Giver giver;
+    /** The listener of an answer in parts; null if there is none or the answer is over. */
+    private StreamListener streamListener;
 
-    /** Whether it is this answer's turn, and some of it is written. */
-    private boolean turn;
+    /** Whether the beginning of this answer is written and its parts follow directly. */
+    private boolean streaming;
 
-    /** The answer, while it waits for those before it. */
-    private ByteBuf waiting;
+    /** The answer, or its first line, until it is written; null for none. */
+    private ByteBuf pendingAnswer;
 
-    private boolean last;
+    /** Whether the connection closes after this answer. */
+    private boolean closesConnection;
 
     /**
-     * Whether the client has closed its connection, as far as its socket tells now. Guards against
-     * work that nobody waits for: a close is told only by reading, which comes late where the loop
-     * has stood still, and not at all where reading is off.
+     * Returns whether the client has closed its connection, after reading the socket if necessary.
+     * Avoids work for a client that has left: a close is noticed only by a read, which is late
+     * after a stall of the loop and does not happen while reading is off.
      */
-    public boolean clientLeft() {
-      return left();
+    public boolean clientDisconnected() {
+      return detectDisconnect();
     }
 
-    /** Where buffers for the answer come from. */
-    public ByteBufAllocator alloc() {
+    /** Returns the allocator for the answer's buffers. */
+    public ByteBufAllocator allocator() {
       return channel.alloc();
     }
 
-    /** Gives a line as the answer. */
-    public void line(String text) {
+    /** Answers with one line. */
+    public void answerLine(String text) {
       ByteBuf line = channel.alloc().buffer(text.length() + 2);
       ByteBufUtil.writeAscii(line, text);
       answer(line.writeShort(0x0D0A));
     }
 
-    /** Gives the answer. */
+    /** Answers with these bytes and releases them. */
     public void answer(ByteBuf bytes) {
-      if (wanted(bytes)) {
-        give(bytes);
+      if (acceptsAnswer(bytes)) {
+        setAnswer(bytes);
       }
     }
 
-    /** Whether an answer is still wanted here; else what would begin it is released. */
-    private boolean wanted(ByteBuf bytes) {
-      boolean wanted = channel.isActive() && waiting == null && slots.contains(this);
-      if (!wanted) {
+    /** Returns whether the answer can still be given; otherwise releases the bytes. */
+    private boolean acceptsAnswer(ByteBuf bytes) {
+      boolean accepted = channel.isActive() && pendingAnswer == null && answerSlots.contains(this);
+      if (!accepted) {
         bytes.release();
       }
-      return wanted;
+      return accepted;
     }
 
-    private void give(ByteBuf bytes) {
-      waiting = bytes;
-      if (slots.peek() == this) {
-        advance();
+    private void setAnswer(ByteBuf bytes) {
+      pendingAnswer = bytes;
+      if (answerSlots.peek() == this) {
+        writeReadyAnswers();
       }
     }
 
     /**
-     * Gives the first line of an answer that comes in parts.
+     * Begins an answer in parts with its first line.
      *
-     * @return whether the client is still there; else nothing is told to the giver
+     * @return whether the client is still connected; if not, the listener is never called
      */
-    public boolean begin(ByteBuf head, Giver from) {
-      if (!wanted(head)) {
+    public boolean beginStream(ByteBuf head, StreamListener listener) {
+      if (!acceptsAnswer(head)) {
         return false;
       }
-      giver = from;
+      streamListener = listener;
       parts = new ArrayDeque<>();
-      give(head);
+      setAnswer(head);
       return true;
     }
 
-    /** Gives a part of the answer. */
-    public void part(ByteBuf bytes) {
-      if (giver == null) {
+    /** Adds a part to the answer and releases it once it is written. */
+    public void streamPart(ByteBuf bytes) {
+      if (streamListener == null) {
         bytes.release();
-      } else if (turn) {
+      } else if (streaming) {
         writePart(bytes);
         channel.flush();
       } else {
@@ -212,45 +219,45 @@
           .write(bytes)
           .addListener(
               written -> {
-                if (written.isSuccess() && giver != null) {
-                  giver.taken(size);
+                if (written.isSuccess() && streamListener != null) {
+                  streamListener.bytesWritten(size);
                 }
               });
     }
 
-    /** Ends the answer: all parts of it have been taken. */
-    public void finish() {
-      giver = null;
+    /** Ends the answer after all its parts were written. */
+    public void finishStream() {
+      streamListener = null;
       channel.write(Unpooled.copyShort(0x0D0A), channel.voidPromise());
-      slots.poll();
-      advance();
+      answerSlots.poll();
+      writeReadyAnswers();
     }
 
-    /** Ends an answer that is not whole, by a line in its place, or by the connection's end. */
-    public void cut(String line) {
-      giver = null;
-      if (turn) {
-        // Closed with the value unfinished: a line would be taken for a part of it.
+    /** Aborts the answer: sends the line in its place, or closes the connection if it has begun. */
+    public void abortStream(String line) {
+      streamListener = null;
+      if (streaming) {
+        // Within a value the client would read a line as part of the value.
         channel.close();
         return;
       }
-      release();
+      releaseBuffers();
       parts = null;
-      line(line);
+      answerLine(line);
     }
 
-    private void writeParts() {
-      turn = true;
-      giver.turn();
+    private void startStreaming() {
+      streaming = true;
+      streamListener.slotReached();
       for (ByteBuf part = parts.poll(); part != null; part = parts.poll()) {
         writePart(part);
       }
     }
 
-    private void release() {
-      if (waiting != null) {
-        waiting.release();
-        waiting = null;
+    private void releaseBuffers() {
+      if (pendingAnswer != null) {
+        pendingAnswer.release();
+        pendingAnswer = null;
       }
       if (parts != null) {
         parts.forEach(ByteBuf::release);
@@ -259,59 +266,63 @@
     }
   }
 
-  /** Writes the answers whose turn it is. */
-  private void advance() {
-    for (Slot slot = slots.peek(); slot != null && slot.waiting != null; slot = slots.peek()) {
-      channel.write(slot.waiting, channel.voidPromise());
-      slot.waiting = null;
+  /** Writes all answers that are complete and whose predecessors are written. */
+  private void writeReadyAnswers() {
+    for (AnswerSlot slot = answerSlots.peek();
+        slot != null && slot.pendingAnswer != null;
+        slot = answerSlots.peek()) {
+      channel.write(slot.pendingAnswer, channel.voidPromise());
+      slot.pendingAnswer = null;
       if (slot.parts != null) {
-        slot.writeParts();
+        slot.startStreaming();
         break;
       }
-      slots.poll();
-      if (slot.last) {
-        linger();
+      answerSlots.poll();
+      if (slot.closesConnection) {
+        startLingering();
       }
     }
     channel.flush();
-    steer();
-    rest();
+    updateAutoRead();
+    markIdleIfQuiet();
   }
 
-  /** Between requests the connection is idle. */
-  private void rest() {
-    if (quiet()) {
-      restsSince = connections.idleClock();
-      connections.idle(this);
+  /** Marks the connection as idle if it is between requests. */
+  private void markIdleIfQuiet() {
+    if (isQuiet()) {
+      idleSinceNanos = connections.idleClockNanos();
+      connections.markIdle(this);
     }
   }
 
-  /** Whether nothing is owed here and nothing has begun to come. */
-  private boolean quiet() {
-    return slots.isEmpty() && !decoder.midway() && !closing;
+  /** Returns whether all commands are answered and no command was received in part. */
+  private boolean isQuiet() {
+    return answerSlots.isEmpty() && !decoder.midway() && !closing;
   }
 
   /**
-   * Takes in what lies in the socket; whether nothing is owed here after that. Guards against
-   * holding a pause of this node against a client that asked during it.
+   * Reads the socket and returns whether the connection is still quiet. A client that sent a
+   * command during a stall of this node must not be closed as idle.
    */
-  boolean looksQuiet() {
-    heard = false;
+  boolean isQuietAfterRead() {
+    commandReceived = false;
     SocketLook.read(channel);
-    return !heard && quiet();
+    return !commandReceived && isQuiet();
   }
 
-  private boolean mayLook() {
-    return channel.isActive() && decoder.held() <= MAX_HELD;
+  private boolean canRead() {
+    return channel.isActive() && decoder.held() <= MAX_HELD_BYTES;
   }
 
-  private boolean left() {
-    long unread = System.nanoTime() - readAt;
-    if (!reading && unread > JUST_READ_NANOS) {
-      // Each look reads one piece at least, and the close lies behind the last.
-      long before = -1;
-      for (int i = 0; i < LOOK_PIECES && decoder.pieces() > before && mayLook(); i++) {
-        before = decoder.pieces();
+  private boolean detectDisconnect() {
+    long nanosSinceRead = System.nanoTime() - lastReadNanos;
+    if (!reading && nanosSinceRead > RECENT_READ_NANOS) {
+      // Each read returns at least one piece of data, and the close follows the last.
+      long piecesBefore = -1;
+      for (int i = 0;
+          i < MAX_READS_PER_CHECK && decoder.pieces() > piecesBefore && canRead();
+          i++) {
+        piecesBefore = decoder.pieces();
         SocketLook.read(channel);
       }
     }
@@ -319,18 +330,19 @@
   }
 
   /**
-   * Ends the sending side after what is written, and lets the client read it: a close while it
-   * still sends would reset the connection and destroy the line that tells why. What it sends is
-   * dropped unread by the decoder, up to a bound; then the socket's own buffer holds it up.
+   * Shuts down the output after the last answer and leaves the client time to read it: closing
+   * while the client still sends would reset the connection, and the client could lose the error
+   * line. The decoder discards up to a bound what the client sends; beyond that it stays in the
+   * socket buffer.
    */
-  private void linger() {
+  private void startLingering() {
     if (lingering) {
       return;
     }
     closing = true;
     lingering = true;
-    endsSince = System.nanoTime();
-    connections.lingers(this);
+    closingSinceNanos = System.nanoTime();
+    connections.markLingering(this);
     channel
         .writeAndFlush(Unpooled.EMPTY_BUFFER)
         .addListener(
@@ -344,16 +356,17 @@
   }
 
   /**
-   * Takes commands only while the client is not owed too many, and reads on while it takes its
-   * answers. Where reading is off, a client's close is seen by a look at each sweep, or by the
-   * write that fails: a request that waits here must not go out long after its client has left.
+   * Turns reading on or off: the decoder holds commands while too many answers are pending, and the
+   * socket is not read while the client does not read its answers. A close that happens meanwhile
+   * is found by the periodic check or by a failing write, so that a queued request is not sent long
+   * after its client has left.
    */
-  private void steer() {
-    boolean crowded = !closing && slots.size() >= MAX_OWED;
-    boolean taken = closing ? decoder.mayDiscard() : channel.isWritable();
-    channel.config().setAutoRead(taken && !crowded);
-    if (decoder.hold(crowded) && !crowded) {
-      // As a task, since this may run within the decoder.
+  private void updateAutoRead() {
+    boolean tooManyPending = !closing && answerSlots.size() >= MAX_PENDING_ANSWERS;
+    boolean canTakeMore = closing ? decoder.mayDiscard() : channel.isWritable();
+    channel.config().setAutoRead(canTakeMore && !tooManyPending);
+    if (decoder.hold(tooManyPending) && !tooManyPending) {
+      // Runs as a separate task, since the caller may be the decoder.
       channel
           .eventLoop()
           .execute(
@@ -364,22 +377,22 @@
     }
   }
 
-  /** Sees whether the client has gone, where nothing is read by itself. */
-  private void lookIfUnread() {
+  /** Checks whether the client has closed the connection while automatic reading is off. */
+  private void detectCloseWhilePaused() {
     if (channel.config().isAutoRead() || (!closing && !channel.isWritable())) {
       return;
     }
-    // Each look reads one piece only, and the close lies behind the last.
-    for (int before = -1; channel.isActive() && decoder.held() > before; ) {
-      before = decoder.held();
+    // Each read returns one piece of data only, and the close follows the last.
+    for (int heldBefore = -1; channel.isActive() && decoder.held() > heldBefore; ) {
+      heldBefore = decoder.held();
       SocketLook.read(channel);
-      if (before > MAX_HELD) {
+      if (heldBefore > MAX_HELD_BYTES) {
         break;
       }
     }
-    if (channel.isActive() && !closing && decoder.held() > MAX_HELD) {
-      // A close behind still more could not be seen without keeping all of it.
-      turnAway("SERVER_ERROR too many commands");
+    if (channel.isActive() && !closing && decoder.held() > MAX_HELD_BYTES) {
+      // To find a close behind even more data, all of that data would have to be held.
+      rejectAndClose("SERVER_ERROR too many commands");
     }
   }
 
@@ -390,9 +403,9 @@
 
   @Override
   public void channelActive(ChannelHandlerContext ctx) {
-    if (!connections.opened(this)) {
-      turnAway("SERVER_ERROR busy");
-    } else if (connections.draining()) {
+    if (!connections.register(this)) {
+      rejectAndClose("SERVER_ERROR busy");
+    } else if (connections.isDraining()) {
       drain();
     }
   }
@@ -401,89 +414,91 @@
   public void channelRead(ChannelHandlerContext ctx, Object message) {
     reading = true;
     MetaCommand command = (MetaCommand) message;
-    midwaySince = 0;
-    spoke = true;
-    heard = true;
+    partialSinceNanos = 0;
+    hasSentCommand = true;
+    commandReceived = true;
     if (closing) {
       command.release();
       return;
     }
-    connections.busy(this);
-    Slot slot = new Slot();
-    slots.add(slot);
-    if (slots.size() >= MAX_OWED) {
-      steer();
+    connections.markBusy(this);
+    AnswerSlot slot = new AnswerSlot();
+    answerSlots.add(slot);
+    if (answerSlots.size() >= MAX_PENDING_ANSWERS) {
+      updateAutoRead();
     }
     if (command.reply == null
-        && slots.size() <= MAX_OPEN
-        && connections.mayTake(command.request.budget())) {
-      strikes = 0;
-      slot.request = requests.request(command, slot, unreadNanos());
+        && answerSlots.size() <= MAX_OPEN_REQUESTS
+        && connections.canAnswerInTime(command.request.budget())) {
+      consecutiveInvalid = 0;
+      slot.request = requestHandler.accept(command, slot, maxUnreadNanos());
       return;
     }
     if (command.request != null) {
-      requests.refused(command.request.serviceClass());
+      requestHandler.requestRefused(command.request.serviceClass());
     }
-    boolean wrong = command.request == null && !command.reply.equals("MN");
-    strikes = wrong ? strikes + 1 : 0;
+    boolean invalid = command.request == null && !command.reply.equals("MN");
+    consecutiveInvalid = invalid ? consecutiveInvalid + 1 : 0;
     command.release();
-    end(slot, command.reply, command.lost || strikes >= MAX_STRIKES);
+    answerWithoutRequest(
+        slot, command.reply, command.lost || consecutiveInvalid >= MAX_CONSECUTIVE_INVALID);
   }
 
-  /** How long a request that is read now may have lain unread. */
-  private long unreadNanos() {
+  /** Returns how long a request that is read now can have been unread at most. */
+  private long maxUnreadNanos() {
     long now = System.nanoTime();
-    long unread = connections.unreadNanos(now);
-    // What a connection holds that was accepted after a stall is read in the turn after.
-    boolean justAccepted = connectedSince != 0 && connections.turn() == acceptedInTurn + 1;
-    return justAccepted ? Math.max(unread, now - connectedSince) : unread;
+    long maxUnread = connections.maxUnreadNanos(now);
+    // A connection that was accepted after a stall is first read in the next turn.
+    boolean justAccepted =
+        earliestConnectNanos != 0 && connections.loopTurn() == acceptedInLoopTurn + 1;
+    return justAccepted ? Math.max(maxUnread, now - earliestConnectNanos) : maxUnread;
   }
 
-  private void end(Slot slot, String reply, boolean last) {
-    slot.last = last;
-    closing |= last;
-    if (last) {
+  private void answerWithoutRequest(AnswerSlot slot, String reply, boolean closesConnection) {
+    slot.closesConnection = closesConnection;
+    closing |= closesConnection;
+    if (closesConnection) {
       decoder.giveUp();
     }
-    slot.line(reply == null ? "SERVER_ERROR busy" : reply);
+    slot.answerLine(reply == null ? "SERVER_ERROR busy" : reply);
   }
 
-  /** Gives a last line, behind the answers that are owed, and then ends the connection. */
-  private void turnAway(String why) {
-    Slot slot = new Slot();
-    slots.add(slot);
-    connections.busy(this);
-    end(slot, why, true);
+  /** Sends a last line after all pending answers, and then closes the connection. */
+  private void rejectAndClose(String reason) {
+    AnswerSlot slot = new AnswerSlot();
+    answerSlots.add(slot);
+    connections.markBusy(this);
+    answerWithoutRequest(slot, reason, true);
   }
 
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
     reading = false;
-    readAt = System.nanoTime();
+    lastReadNanos = System.nanoTime();
     if (decoder.midway() && decoder.held() == 0) {
-      midwaySince = midwaySince == 0 ? System.nanoTime() : midwaySince;
-      connections.busy(this);
+      partialSinceNanos = partialSinceNanos == 0 ? System.nanoTime() : partialSinceNanos;
+      connections.markBusy(this);
     }
-    drainIfAsked();
-    steer();
+    continueDrain();
+    updateAutoRead();
   }
 
   @Override
   public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-    stalledSince = channel.isWritable() ? 0 : System.nanoTime();
-    stalledAt = channel.bytesBeforeWritable();
-    steer();
+    stalledSinceNanos = channel.isWritable() ? 0 : System.nanoTime();
+    lastBytesBeforeWritable = channel.bytesBeforeWritable();
+    updateAutoRead();
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    connections.closed(this);
-    for (Slot slot = slots.poll(); slot != null; slot = slots.poll()) {
-      slot.release();
-      if (slot.giver != null) {
-        Giver giver = slot.giver;
-        slot.giver = null;
-        giver.clientGone();
+    connections.onClosed(this);
+    for (AnswerSlot slot = answerSlots.poll(); slot != null; slot = answerSlots.poll()) {
+      slot.releaseBuffers();
+      if (slot.streamListener != null) {
+        StreamListener listener = slot.streamListener;
+        slot.streamListener = null;
+        listener.clientGone();
       }
       if (slot.request != null) {
         slot.request.clientGone();
@@ -494,127 +509,127 @@
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
     if (!(cause instanceof IOException)) {
-      requests.report("client connection", cause);
+      requestHandler.reportError("client connection", cause);
     }
     ctx.close();
   }
 
-  /** Since when it is fresh or idle, on the clock that leaves out pauses. */
-  long restsSince() {
-    return restsSince;
+  /** Returns when the connection was opened or became idle, on the idle clock. */
+  long idleSinceNanos() {
+    return idleSinceNanos;
   }
 
-  /** Closes at once: nothing is owed here. */
-  void drop() {
+  /** Closes the connection at once; the caller has made sure that it is quiet. */
+  void closeNow() {
     channel.close();
   }
 
-  /** Closes one that lingers, once more dropping what it sent. */
-  void dropLingering() {
-    // What is still unread would turn the close into a reset, which can cost the client the line
-    // that tells why.
+  /** Closes a lingering connection after discarding what the client has sent. */
+  void closeLingering() {
+    // Closing a socket with unread data resets the connection, and the client could lose the error
+    // line.
     SocketLook.read(channel);
     channel.close();
   }
 
   /**
-   * Closes as soon as all answers are written, unless a last look finds that the client has asked
-   * again. Runs as a task of its own, since an answer is often given within the reading of the
-   * command behind it.
+   * Closes the connection once all answers are written, unless a last read finds another command.
+   * Runs as a separate task, since an answer is often given while the next command is being read.
    */
-  void leave() {
-    if (!leaving) {
-      leaving = true;
-      endsSince = System.nanoTime();
-      channel.eventLoop().execute(this::leaveWhenWritten);
+  void closeAfterAnswers() {
+    if (!closeScheduled) {
+      closeScheduled = true;
+      closingSinceNanos = System.nanoTime();
+      channel.eventLoop().execute(this::closeAfterWrites);
     }
   }
 
-  private void leaveWhenWritten() {
+  private void closeAfterWrites() {
     channel
         .writeAndFlush(Unpooled.EMPTY_BUFFER)
         .addListener(written -> channel.eventLoop().execute(this::closeIfQuiet));
   }
 
   private void closeIfQuiet() {
-    boolean quiet = looksQuiet();
-    leaving = false;
+    boolean quiet = isQuietAfterRead();
+    closeScheduled = false;
     if (quiet) {
       closing = true;
       channel.close();
     } else {
-      drainIfAsked();
+      continueDrain();
     }
   }
 
   /**
-   * Ends now, or as soon as nothing is owed. Until then it reads on: what comes behind an open
-   * request is owed an answer from its last byte on, and a client that leaves has to be heard. What
-   * this node may not live to answer is refused as it comes.
+   * Closes the connection now if it is quiet; otherwise this is called again later. Until then the
+   * socket is read: a request that is received completely has to be answered, and a disconnect has
+   * to be noticed. Requests that are due after this process ends are refused.
    */
   void drain() {
-    if (!lingering && !closing && quiet()) {
-      leave();
+    if (!lingering && !closing && isQuiet()) {
+      closeAfterAnswers();
     }
   }
 
-  private void drainIfAsked() {
-    if (connections.draining()) {
+  private void continueDrain() {
+    if (connections.isDraining()) {
       drain();
     }
   }
 
   /**
-   * Ends a connection that stands for nothing: silent, idle, stopped halfway through a command,
-   * reading nothing, or turned away. Each would hold memory and a descriptor for good.
+   * Closes a connection that is silent, idle, stopped within a command, not read by the client, or
+   * rejected, once the respective time limit has passed. Otherwise it would hold memory and a
+   * descriptor indefinitely.
    */
-  void sweep(long now) {
+  void closeIfExpired(long now) {
     ClientConnections.Limits limits = connections.limits();
-    lookIfUnread();
+    detectCloseWhilePaused();
     if (!channel.isActive()) {
       return;
     }
-    if (stalledSince != 0 && channel.bytesBeforeWritable() < stalledAt) {
-      // It takes what it is given, if slowly.
-      stalledSince = now;
+    if (stalledSinceNanos != 0 && channel.bytesBeforeWritable() < lastBytesBeforeWritable) {
+      // The client reads, if slowly.
+      stalledSinceNanos = now;
     }
-    stalledAt = channel.bytesBeforeWritable();
-    if (stalledSince != 0 && now - stalledSince > limits.stallNanos()) {
-      // It may have read on while this node did not run.
+    lastBytesBeforeWritable = channel.bytesBeforeWritable();
+    if (stalledSinceNanos != 0 && now - stalledSinceNanos > limits.stallTimeoutNanos()) {
+      // The client may have read while the event loop was stalled.
       SocketLook.write(channel);
-      if (stalledSince != 0) {
+      if (stalledSinceNanos != 0) {
         channel.close();
       }
     } else if (lingering) {
-      if (now - endsSince > limits.lingerNanos()) {
-        dropLingering();
+      if (now - closingSinceNanos > limits.lingerTimeoutNanos()) {
+        closeLingering();
       }
-    } else if (leaving) {
-      // What is owed still has a deadline; what is written and not taken has none.
-      if (now - endsSince > limits.stallNanos() && looksQuiet()) {
-        drop();
+    } else if (closeScheduled) {
+      // Open requests have deadlines; written answers that the client does not read have none.
+      if (now - closingSinceNanos > limits.stallTimeoutNanos() && isQuietAfterRead()) {
+        closeNow();
       }
-    } else if (midwaySince != 0) {
-      long patience =
-          connections.draining()
-              ? Math.min(DRAIN_COMMAND_NANOS, limits.commandNanos())
-              : limits.commandNanos();
-      if (now - midwaySince > patience) {
-        turnAwayIfMidway();
+    } else if (partialSinceNanos != 0) {
+      long commandTimeoutNanos =
+          connections.isDraining()
+              ? Math.min(DRAIN_COMMAND_TIMEOUT_NANOS, limits.commandTimeoutNanos())
+              : limits.commandTimeoutNanos();
+      if (now - partialSinceNanos > commandTimeoutNanos) {
+        rejectIfStillPartial();
       }
-    } else if (quiet()
-        && connections.idleClock() - restsSince
-            > (spoke ? connections.restNanos() : limits.commandNanos())) {
-      leave();
+    } else if (isQuiet()
+        && connections.idleClockNanos() - idleSinceNanos
+            > (hasSentCommand ? connections.idleTimeoutNanos() : limits.commandTimeoutNanos())) {
+      closeAfterAnswers();
     }
   }
 
-  /** Turns away a client whose command is still not whole after a look at what has come. */
-  private void turnAwayIfMidway() {
-    long before = midwaySince;
+  /** Rejects the client if its command is still incomplete after a read of the socket. */
+  private void rejectIfStillPartial() {
+    long partialSinceBefore = partialSinceNanos;
     SocketLook.read(channel);
-    if (midwaySince == before && decoder.midway() && channel.isActive()) {
-      turnAway("CLIENT_ERROR command not finished");
+    if (partialSinceNanos == partialSinceBefore && decoder.midway() && channel.isActive()) {
+      rejectAndClose("CLIENT_ERROR command not finished");
     }
   }
 }
--- /dev/null
+++ b/src/main/java/beamspread/node/client/RequestHandler.java
@@ -0,0 +1,28 @@
+package beamspread.node.client;
+
+import beamspread.node.wire.MetaCommand;
+
+/** Handles the requests of clients. Runs on the event loop only. */
+public interface RequestHandler {
+  /** A request that was accepted and not answered yet. */
+  interface AcceptedRequest {
+    /** Called when the client has closed its connection. */
+    void clientGone();
+  }
+
+  /**
+   * Accepts a request.
+   *
+   * @param slot receives the answer
+   * @param maxUnreadNanos how long the request can have been unread at most, 0 if the event loop
+   *     was not late
+   * @return null if the request was answered at once
+   */
+  AcceptedRequest accept(MetaCommand command, ClientHandler.AnswerSlot slot, long maxUnreadNanos);
+
+  /** Called when a request of this class was refused before it was passed here. */
+  void requestRefused(String serviceClass);
+
+  /** Reports an unexpected exception. */
+  void reportError(String component, Throwable cause);
+}
--- a/src/main/java/beamspread/node/client/package-info.java
+++ b/src/main/java/beamspread/node/client/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The connections of clients: their commands in, their answers out in order, and when a connection
- * ends. A connection is ended by what its socket holds, not by the time alone: see {@code
- * docs/design/0002-closes.md}. What is asked goes to {@link beamspread.node.client.Requests}.
+ * Client connections: reading commands, writing answers in order, and closing connections. Before a
+ * connection is closed its socket is read once more, since a timeout alone does not show that the
+ * client has sent nothing: see {@code docs/design/0002-closes.md}. Requests are passed to {@link
+ * beamspread.node.client.RequestHandler}.
  */
 package beamspread.node.client;
--- a/src/main/java/beamspread/node/discovery/CallFailure.java
+++ b/src/main/java/beamspread/node/discovery/CallFailure.java
@@ -4,80 +4,83 @@
 import java.util.Locale;
 
 /**
- * How a call to discovery ended without giving what it was made for, or a watch broke.
+ * Describes how a call to discovery failed, or how a watch ended.
  *
- * @param kind what ended it
- * @param detail more of the cause, in words for operators; empty for none
- * @param call the number of the call, counted from the start of the process
- * @param millis how long it had lasted by then, in milliseconds
- * @param progress how far its answer had come
+ * @param kind the cause
+ * @param detail more about the cause, for the log; empty for none
+ * @param callNumber the number of the call, counted from the start of the process
+ * @param durationMillis how long the call had lasted when it failed, in milliseconds
+ * @param progress how much of the answer had been received
  */
-public record CallFailure(Kind kind, String detail, long call, long millis, Progress progress) {
+public record CallFailure(
+    Kind kind, String detail, long callNumber, long durationMillis, Progress progress) {
 
-  /** What ended a call. */
+  /** The cause of a failure. */
   public enum Kind {
-    /** This node could not make it: it had no socket, for one. */
+    /** This node could not start the call, for example because it could not open a socket. */
     NOT_MADE,
-    /** Nothing listens there, or no way leads there. */
+    /** Nothing listens at the address, or there is no route to it. */
     NOT_THERE,
-    /** No connection came up in time. */
+    /** The connection was not established in time. */
     NO_CONNECTION,
-    /** Discovery answered with a status that is no answer. */
+    /** Discovery answered with a status other than 200. */
     STATUS,
-    /** The connection broke. */
+    /** The connection was reset or closed. */
     CONNECTION_LOST,
-    /** The answer came to its end, which a watch has not. */
+    /** The answer ended, which the answer to a watch never does by itself. */
     ENDED,
-    /** Nothing came for too long. */
+    /** Nothing was received for too long. */
     SILENT,
-    /** Its answer came too slowly. */
+    /** The answer arrived too slowly. */
     SLOW,
-    /** What came can't be read. */
+    /** The answer could not be parsed. */
     MALFORMED
   }
 
-  /** How far an answer had come. */
+  /** How much of an answer had been received. */
   public enum Progress {
-    /** Nothing had come of it. */
+    /** Nothing. */
     NONE,
-    /** It had begun. */
-    BEGUN,
-    /** It had told a list or a change, and so was a watch that stood. */
-    TOLD
+    /** Its beginning. */
+    ANSWER_STARTED,
+    /** At least one list or change, so that a watch was established. */
+    LIST_RECEIVED
   }
 
-  /** Until so long after a call a reset tells of a service that is down, and not of a wait. */
-  private static final long AT_ONCE_MILLIS = 1000;
+  /** A reset within this time means that discovery is down; a later one, that it is overloaded. */
+  private static final long IMMEDIATE_RESET_MILLIS = 1000;
 
   /**
-   * What the failure says of discovery; null for nothing.
+   * Returns what the failure shows about discovery, or null if it shows nothing.
    *
-   * @param pushed whether discovery is an agent beside this process, which is silent while it has
-   *     nothing to tell
+   * @param pushed whether discovery is an agent on this host, which sends nothing while it has no
+   *     list
    */
   ListEvidence evidence(boolean pushed) {
-    if (progress == Progress.TOLD) {
+    if (progress == Progress.LIST_RECEIVED) {
       return null;
     }
     boolean unanswered = progress == Progress.NONE;
-    boolean down = kind == Kind.NOT_THERE || unanswered && broken() && millis < AT_ONCE_MILLIS;
+    boolean down =
+        kind == Kind.NOT_THERE
+            || unanswered && endedByPeer() && durationMillis < IMMEDIATE_RESET_MILLIS;
     if (pushed) {
       down |= kind == Kind.NO_CONNECTION || unanswered && kind == Kind.SILENT;
       if (kind == Kind.NOT_MADE) {
         return null;
       }
     }
-    // Whatever else it was, discovery may have been there for others: it counts as reached.
+    // In all other cases discovery may be serving other nodes, so it counts as reached.
     return down ? ListEvidence.UNREACHABLE : ListEvidence.REACHED;
   }
 
-  /** Whether the other end has ended it. */
-  boolean broken() {
+  /** Returns whether discovery ended the connection or the answer. */
+  boolean endedByPeer() {
     return kind == Kind.CONNECTION_LOST || kind == Kind.ENDED;
   }
 
-  /** In words for operators. */
-  public String text() {
+  /** Returns the kind and the detail as text for the log. */
+  public String description() {
     return kind.name().toLowerCase(Locale.ROOT).replace('_', ' ')
         + (detail.isEmpty() ? "" : " (" + detail + ")");
   }
--- a/src/main/java/beamspread/node/discovery/DiscoveryCall.java
+++ b/src/main/java/beamspread/node/discovery/DiscoveryCall.java
@@ -32,98 +32,102 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
 
-/** One call to discovery and its answer. All of it runs on the event loop. */
+/** One HTTP call to discovery and its answer. Runs on the event loop only. */
 final class DiscoveryCall extends SimpleChannelInboundHandler<HttpObject> {
-  /** How long a watch that stands may say nothing: it sends at least an empty line every 2 s. */
-  private static final long MAX_SILENCE_MILLIS = 3000;
+  /** Silence after which a watch fails; discovery sends an empty line at least every 2 s. */
+  private static final long WATCH_SILENCE_TIMEOUT_MILLIS = 3000;
 
-  /** How long a watch in order says nothing at most, with some delay on the way. */
-  private static final long LONGEST_BEAT_MILLIS = 2300;
+  /** Longest time between two heartbeats of a working watch: 2 s and some network delay. */
+  private static final long MAX_HEARTBEAT_GAP_MILLIS = 2300;
 
-  /** How long a call's answer may take to begin: discovery lets one wait for up to 2 s. */
-  private static final long MAX_WAIT_MILLIS = 2500;
+  /** Time within which an answer has to begin; discovery may queue a call for up to 2 s. */
+  private static final long ANSWER_START_TIMEOUT_MILLIS = 2500;
 
-  /** How long nothing may come within a list that has begun. */
-  private static final long MAX_GAP_MILLIS = 1000;
+  /** Longest pause between two parts of one list. */
+  private static final long LIST_GAP_TIMEOUT_MILLIS = 1000;
 
-  /** From when on a list that has begun has to come at a least rate, and that rate. */
-  private static final long SLOW_AFTER_MILLIS = 1000;
+  /** Time after the beginning of a list from which it has to arrive at the minimum rate. */
+  private static final long MIN_RATE_APPLIES_AFTER_MILLIS = 1000;
 
-  private static final long LEAST_BYTES_A_SECOND = 16 << 10;
+  /** Minimum rate at which a list has to arrive. */
+  private static final long MIN_BYTES_PER_SECOND = 16 << 10;
 
-  /** How long a call may take to tell a list, however its answer comes. */
-  private static final long MAX_CALL_MILLIS = 4500;
+  /** Time within which a call has to return its first complete list, however it arrives. */
+  private static final long FIRST_LIST_TIMEOUT_MILLIS = 4500;
 
   /**
-   * What is missed on a silent watch binds 6 s after it fell silent: 3 s until that is noticed, one
-   * connect that hangs, the pause, and a second connect leave one second (design 0012).
+   * Changes missed on a silent watch take effect 6 s after it fell silent. Detecting the silence
+   * takes 3 s; one connect attempt that times out, the retry delay and a second connect leave one
+   * second (design 0012).
    */
   private static final int CONNECT_TIMEOUT_MILLIS = 800;
 
-  /** Longest list, for thousands of servers. */
-  private static final int MAX_LIST = 4 << 20;
+  /** Maximum size of a list, enough for thousands of servers. */
+  private static final int MAX_LIST_BYTES = 4 << 20;
 
   /**
-   * What is asked for.
+   * The request of a call.
    *
-   * @param number the number of the call
-   * @param peer where discovery listens
-   * @param path the path and query of the request
-   * @param follows whether its answer is a watch, which stays open and tells changes as they come
+   * @param callNumber the number of the call, for the log
+   * @param serverAddress the address of discovery
+   * @param path the path and query of the URL
+   * @param watch whether this is a watch, whose answer stays open and streams changes
    */
-  record Query(long number, SocketAddress peer, String path, boolean follows) {}
+  record Query(long callNumber, SocketAddress serverAddress, String path, boolean watch) {}
 
-  /** Is told what comes of the call. */
-  interface Owner {
-    /** A list, or changes of it, have come whole. */
-    void told(DiscoveryCall call, MemberList list);
+  /** Receives the results of a call. */
+  interface Listener {
+    /** Called for each complete list or change that was received. */
+    void listReceived(DiscoveryCall call, MemberList list);
 
-    /** The watch says that nothing has changed since what it told last. */
-    void confirmed(DiscoveryCall call);
+    /** Called when a heartbeat shows that nothing has changed since the last list or change. */
+    void listConfirmed(DiscoveryCall call);
 
-    /** Something has come that can't be read; the call fails next. */
-    void unreadable();
+    /** Called when a list could not be parsed; {@link #callFailed} follows. */
+    void inputMalformed();
 
-    /** The call has ended without being told to. */
-    void failed(DiscoveryCall call, CallFailure failure);
+    /** Called when the call fails; not called after {@link DiscoveryCall#cancel()}. */
+    void callFailed(DiscoveryCall call, CallFailure failure);
   }
 
   private final EventLoop loop;
   private final Query query;
-  private final Owner owner;
-  private final ByteBuf text = Unpooled.buffer();
-  private final ObjectScan scan = new ObjectScan();
-  private final ChannelFuture connecting;
-  private final long begunAt = System.nanoTime();
-  private long heardAt = begunAt;
+  private final Listener listener;
+  private final ByteBuf buffer = Unpooled.buffer();
+  private final JsonObjectScanner scanner = new JsonObjectScanner();
+  private final ChannelFuture connectFuture;
+  private final long startedNanos = System.nanoTime();
+  private long lastReadNanos = startedNanos;
 
-  /** For how long this node did not run when it should have looked. */
-  private long stoodNanos;
+  /** Total time by which the event loop ran timeout checks too late. */
+  private long stalledNanos;
 
-  /** When the list that is coming began, and how much of it has come. */
-  private long listBegunAt;
+  /** When the list that is being received began. */
+  private long listStartedNanos;
 
-  private long listBytes;
+  /** Bytes received so far of a list that is incomplete; 0 between lists. */
+  private long partialListBytes;
 
-  /** The next look for silence, and when it is. */
-  private ScheduledFuture<?> look;
+  /** The next timeout check; null if none is scheduled. */
+  private ScheduledFuture<?> timeoutCheck;
 
-  private long lookAt;
+  /** When the next timeout check is due. */
+  private long timeoutCheckNanos;
 
-  /** Whether its answer has begun. */
-  private boolean answered;
+  /** Whether any part of the answer was received. */
+  private boolean answerStarted;
 
-  /** Whether it has told a list or a change. */
-  private boolean told;
+  /** Whether a complete list or change was received. */
+  private boolean listReceived;
 
-  private boolean over;
+  private boolean ended;
 
-  /** Connects and asks. */
-  DiscoveryCall(EventLoop loop, Bootstrap bootstrap, Query query, Owner owner) {
+  /** Connects and sends the request. */
+  DiscoveryCall(EventLoop loop, Bootstrap bootstrap, Query query, Listener listener) {
     this.loop = loop;
     this.query = query;
-    this.owner = owner;
-    Bootstrap calling =
+    this.listener = listener;
+    Bootstrap callBootstrap =
         bootstrap
             .clone()
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
@@ -134,34 +138,36 @@
                     channel.pipeline().addLast(new HttpClientCodec(), DiscoveryCall.this);
                   }
                 });
-    connecting = calling.connect(query.peer());
-    if (connecting.isDone()) {
-      // No socket could be made, which is told on another thread and before this call is known.
-      loop.execute(this::connected);
+    connectFuture = callBootstrap.connect(query.serverAddress());
+    if (connectFuture.isDone()) {
+      // No socket could be opened. Listeners would run on another thread, and before the
+      // constructor returns.
+      loop.execute(this::onConnectFinished);
     } else {
-      connecting.addListener(done -> connected());
+      connectFuture.addListener(done -> onConnectFinished());
     }
-    lookInTime();
+    scheduleTimeoutCheck();
   }
 
-  private void connected() {
-    if (connecting.isSuccess()) {
-      ask();
+  private void onConnectFinished() {
+    if (connectFuture.isSuccess()) {
+      sendRequest();
     } else {
-      Throwable cause = connecting.cause();
-      fail(unconnected(cause), String.valueOf(cause.getMessage()));
+      Throwable cause = connectFuture.cause();
+      fail(connectFailureKind(cause), String.valueOf(cause.getMessage()));
     }
   }
 
-  private static CallFailure.Kind unconnected(Throwable cause) {
+  private static CallFailure.Kind connectFailureKind(Throwable cause) {
     if (cause instanceof ConnectTimeoutException) {
       return CallFailure.Kind.NO_CONNECTION;
     }
-    boolean notThere = cause instanceof ConnectException || cause instanceof NoRouteToHostException;
-    return notThere ? CallFailure.Kind.NOT_THERE : CallFailure.Kind.NOT_MADE;
+    boolean notReachable =
+        cause instanceof ConnectException || cause instanceof NoRouteToHostException;
+    return notReachable ? CallFailure.Kind.NOT_THERE : CallFailure.Kind.NOT_MADE;
   }
 
-  private void ask() {
+  private void sendRequest() {
     var request =
         new DefaultFullHttpRequest(
             HttpVersion.HTTP_1_1, HttpMethod.GET, query.path(), Unpooled.EMPTY_BUFFER);
@@ -169,86 +175,87 @@
         .headers()
         .set(
             HttpHeaderNames.HOST,
-            query.peer() instanceof InetSocketAddress inet
+            query.serverAddress() instanceof InetSocketAddress inet
                 ? inet.getAddress().getHostAddress() + ":" + inet.getPort()
                 : "localhost");
-    connecting.channel().writeAndFlush(request);
+    connectFuture.channel().writeAndFlush(request);
   }
 
-  /** Guards against discovery falling silent or slow, where its connections stay open. */
-  private void lookInTime() {
-    long at = patientUntil();
-    if (look != null && at - lookAt >= 0) {
+  /** Schedules the check for an answer that stops or is slow while its connection stays open. */
+  private void scheduleTimeoutCheck() {
+    long timeout = timeoutNanos();
+    if (timeoutCheck != null && timeout - timeoutCheckNanos >= 0) {
       return;
     }
-    if (look != null) {
-      look.cancel(false);
+    if (timeoutCheck != null) {
+      timeoutCheck.cancel(false);
     }
-    lookAt = at;
-    look = loop.schedule(this::look, at - System.nanoTime(), TimeUnit.NANOSECONDS);
+    timeoutCheckNanos = timeout;
+    timeoutCheck =
+        loop.schedule(this::checkTimeout, timeout - System.nanoTime(), TimeUnit.NANOSECONDS);
   }
 
-  /** When the call fails if nothing more comes. */
-  private long patientUntil() {
-    long silent = heardAt + patienceMillis() * 1_000_000L;
-    long late = begunAt + stoodNanos + MAX_CALL_MILLIS * 1_000_000L;
-    return told || silent - late < 0 ? silent : late;
+  /** Returns when the call times out if nothing more is received. */
+  private long timeoutNanos() {
+    long silenceTimeout = lastReadNanos + silenceTimeoutMillis() * 1_000_000L;
+    long listTimeout = startedNanos + stalledNanos + FIRST_LIST_TIMEOUT_MILLIS * 1_000_000L;
+    return listReceived || silenceTimeout - listTimeout < 0 ? silenceTimeout : listTimeout;
   }
 
-  private long patienceMillis() {
-    if (listBytes > 0) {
-      return MAX_GAP_MILLIS;
+  private long silenceTimeoutMillis() {
+    if (partialListBytes > 0) {
+      return LIST_GAP_TIMEOUT_MILLIS;
     }
-    return told ? MAX_SILENCE_MILLIS : MAX_WAIT_MILLIS;
+    return listReceived ? WATCH_SILENCE_TIMEOUT_MILLIS : ANSWER_START_TIMEOUT_MILLIS;
   }
 
-  private void look() {
-    look = null;
-    if (!over && overdue()) {
-      stoodNanos += System.nanoTime() - lookAt;
-      // It may have spoken while this node did not run: the timer is due before the socket is
-      // looked at.
-      SocketLook.read(connecting.channel());
-      if (!over && overdue()) {
-        failOverdue();
+  private void checkTimeout() {
+    timeoutCheck = null;
+    if (!ended && isTimedOut()) {
+      stalledNanos += System.nanoTime() - timeoutCheckNanos;
+      // Data may have arrived while the event loop was stalled: after a stall, timers run before
+      // sockets are read.
+      SocketLook.read(connectFuture.channel());
+      if (!ended && isTimedOut()) {
+        failTimedOut();
       }
     }
-    if (!over) {
-      lookInTime();
+    if (!ended) {
+      scheduleTimeoutCheck();
     }
   }
 
-  private boolean overdue() {
-    return System.nanoTime() - patientUntil() >= 0;
+  private boolean isTimedOut() {
+    return System.nanoTime() - timeoutNanos() >= 0;
   }
 
-  private void failOverdue() {
-    if (System.nanoTime() - heardAt < patienceMillis() * 1_000_000L) {
-      fail(CallFailure.Kind.SLOW, "no list yet");
+  private void failTimedOut() {
+    if (System.nanoTime() - lastReadNanos < silenceTimeoutMillis() * 1_000_000L) {
+      fail(CallFailure.Kind.SLOW, "no complete list yet");
     } else {
-      fail(CallFailure.Kind.SILENT, answered ? "its answer had begun" : "no answer");
+      fail(CallFailure.Kind.SILENT, answerStarted ? "the answer had started" : "no answer");
     }
   }
 
-  /** Guards against an answer that has no end since it comes byte by byte. */
+  /** Fails the call if its list arrives below the minimum rate, for example byte by byte. */
   private void failIfSlow() {
-    long millis = (System.nanoTime() - listBegunAt) / 1_000_000;
-    if (listBytes > 0
-        && millis >= SLOW_AFTER_MILLIS
-        && listBytes < LEAST_BYTES_A_SECOND * millis / 1000) {
-      fail(CallFailure.Kind.SLOW, listBytes + " bytes of a list in " + millis + " ms");
+    long millis = (System.nanoTime() - listStartedNanos) / 1_000_000;
+    if (partialListBytes > 0
+        && millis >= MIN_RATE_APPLIES_AFTER_MILLIS
+        && partialListBytes < MIN_BYTES_PER_SECOND * millis / 1000) {
+      fail(CallFailure.Kind.SLOW, partialListBytes + " bytes of a list in " + millis + " ms");
     }
   }
 
   @Override
   protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) throws WireException {
-    if (over) {
+    if (ended) {
       return;
     }
-    heardAt = System.nanoTime();
-    answered = true;
+    lastReadNanos = System.nanoTime();
+    answerStarted = true;
     if (message.decoderResult().isFailure()) {
-      fail(CallFailure.Kind.MALFORMED, "no HTTP");
+      fail(CallFailure.Kind.MALFORMED, "not HTTP");
       return;
     }
     if (message instanceof HttpResponse response
@@ -258,90 +265,90 @@
     }
     if (message instanceof HttpContent content) {
       boolean last = message instanceof LastHttpContent;
-      if (query.follows()) {
-        follow(content.content());
+      if (query.watch()) {
+        readWatch(content.content());
       } else {
-        read(content.content(), last);
+        readFullList(content.content(), last);
       }
-      if (last && !over) {
+      if (last && !ended) {
         fail(CallFailure.Kind.ENDED, "");
       }
-      if (!over) {
+      if (!ended) {
         failIfSlow();
       }
     }
-    if (!over) {
-      lookInTime();
+    if (!ended) {
+      scheduleTimeoutCheck();
     }
   }
 
-  /** Takes in what a watch tells: one object after the other, each on one line or on several. */
-  private void follow(ByteBuf bytes) throws WireException {
-    int begun = text.writerIndex();
-    keep(bytes);
-    while (!over) {
-      int end = scanned(begun);
-      if (end < 0) {
+  /** Reads from a watch: consecutive JSON objects, each on one or several lines. */
+  private void readWatch(ByteBuf bytes) throws WireException {
+    int scanFrom = buffer.writerIndex();
+    append(bytes);
+    while (!ended) {
+      int objectEnd = findObjectEnd(scanFrom);
+      if (objectEnd < 0) {
         break;
       }
-      tell(parse(text.readSlice(end - text.readerIndex())));
-      begun = end;
+      deliver(parseList(buffer.readSlice(objectEnd - buffer.readerIndex())));
+      scanFrom = objectEnd;
     }
-    if (!over && scan.between()) {
-      text.clear();
-      if (told) {
-        owner.confirmed(this);
+    if (!ended && scanner.isBetweenObjects()) {
+      buffer.clear();
+      if (listReceived) {
+        listener.listConfirmed(this);
       }
     }
-    text.discardReadBytes();
-    listGrows();
+    buffer.discardReadBytes();
+    updatePartialList();
   }
 
-  /** Notes how much of a list has come that is not whole. */
-  private void listGrows() {
-    if (text.isReadable() && listBytes == 0) {
-      listBegunAt = System.nanoTime();
+  /** Updates the size and start time of the list that is being received. */
+  private void updatePartialList() {
+    if (buffer.isReadable() && partialListBytes == 0) {
+      listStartedNanos = System.nanoTime();
     }
-    listBytes = text.readableBytes();
+    partialListBytes = buffer.readableBytes();
   }
 
-  /** Takes in the answer to a call for the whole list. */
-  private void read(ByteBuf bytes, boolean last) throws WireException {
-    keep(bytes);
-    listGrows();
+  /** Reads the answer to a call for the full list. */
+  private void readFullList(ByteBuf bytes, boolean last) throws WireException {
+    append(bytes);
+    updatePartialList();
     if (last) {
-      MemberList list = parse(text);
-      end();
-      tell(list);
+      MemberList list = parseList(buffer);
+      cancel();
+      deliver(list);
     }
   }
 
-  private void tell(MemberList list) {
-    told = true;
-    owner.told(this, list);
+  private void deliver(MemberList list) {
+    listReceived = true;
+    listener.listReceived(this, list);
   }
 
-  private int scanned(int from) throws WireException {
+  private int findObjectEnd(int from) throws WireException {
     try {
-      return scan.end(text, from);
+      return scanner.findObjectEnd(buffer, from);
     } catch (WireException e) {
-      owner.unreadable();
+      listener.inputMalformed();
       throw e;
     }
   }
 
-  private void keep(ByteBuf bytes) throws WireException {
-    if (text.readableBytes() + bytes.readableBytes() > MAX_LIST) {
+  private void append(ByteBuf bytes) throws WireException {
+    if (buffer.readableBytes() + bytes.readableBytes() > MAX_LIST_BYTES) {
       throw new WireException("list too long");
     }
-    text.writeBytes(bytes);
+    buffer.writeBytes(bytes);
   }
 
-  private MemberList parse(ByteBuf object) throws WireException {
+  private MemberList parseList(ByteBuf json) throws WireException {
     try {
-      return MemberList.parse(Message.parse(object.toString(StandardCharsets.UTF_8)));
+      return MemberList.parse(Message.parse(json.toString(StandardCharsets.UTF_8)));
     } catch (WireException e) {
-      owner.unreadable();
+      listener.inputMalformed();
       throw e;
     }
   }
@@ -361,41 +368,42 @@
   }
 
   private void fail(CallFailure.Kind kind, String detail) {
-    if (!over) {
-      end();
-      long millis = (System.nanoTime() - begunAt) / 1_000_000;
-      owner.failed(this, new CallFailure(kind, detail, query.number(), millis, progress()));
+    if (!ended) {
+      cancel();
+      long millis = (System.nanoTime() - startedNanos) / 1_000_000;
+      listener.callFailed(
+          this, new CallFailure(kind, detail, query.callNumber(), millis, progress()));
     }
   }
 
   private CallFailure.Progress progress() {
-    if (told) {
-      return CallFailure.Progress.TOLD;
+    if (listReceived) {
+      return CallFailure.Progress.LIST_RECEIVED;
     }
-    return answered ? CallFailure.Progress.BEGUN : CallFailure.Progress.NONE;
+    return answerStarted ? CallFailure.Progress.ANSWER_STARTED : CallFailure.Progress.NONE;
   }
 
-  /** Whether discovery has answered it, and told no list yet. */
-  boolean hasBegun() {
-    return answered && !told;
+  /** Returns whether the answer has started but no list was received yet. */
+  boolean isAwaitingList() {
+    return answerStarted && !listReceived;
   }
 
-  /** Whether it has told a list, is not within another, and was not silent for too long. */
-  boolean inOrder() {
-    return told
-        && listBytes == 0
-        && System.nanoTime() - heardAt <= LONGEST_BEAT_MILLIS * 1_000_000L;
+  /** Returns whether a list was received, no other is incomplete, and no heartbeat is overdue. */
+  boolean isUpToDate() {
+    return listReceived
+        && partialListBytes == 0
+        && System.nanoTime() - lastReadNanos <= MAX_HEARTBEAT_GAP_MILLIS * 1_000_000L;
   }
 
-  /** Ends the call: nothing more is told of it. */
-  void end() {
-    over = true;
-    if (look != null) {
-      look.cancel(false);
+  /** Ends the call; its listener is not called again. */
+  void cancel() {
+    ended = true;
+    if (timeoutCheck != null) {
+      timeoutCheck.cancel(false);
     }
-    if (connecting.cause() == null) {
-      // One that has failed is closed, and may never have been a socket.
-      connecting.channel().close();
+    if (connectFuture.cause() == null) {
+      // The channel of a failed connect is closed already and may never have had a socket.
+      connectFuture.channel().close();
     }
   }
 }
--- a/src/main/java/beamspread/node/discovery/DiscoveryClient.java
+++ b/src/main/java/beamspread/node/discovery/DiscoveryClient.java
@@ -8,287 +8,295 @@
 import java.util.function.LongUnaryOperator;
 
 /**
- * Asks discovery for the list of servers. Where the list must be asked for, a call is made only
- * when the module says so, and its failure is told; where it is pushed, a watch is kept up here.
+ * Gets the list of cache servers from discovery. On demand, a call is made only when the decision
+ * module requests it, and its failure is reported to the module. If discovery pushes the list, this
+ * client keeps a watch open by itself.
  */
 public final class DiscoveryClient {
   private static final String PATH = "/catalog/members";
 
-  /** Pause before a call that is made again without being asked for. */
-  private static final long RETRY_MILLIS = 200;
+  /** Delay before a failed call that this client retries by itself. */
+  private static final long RETRY_DELAY_MILLIS = 200;
 
   /**
-   * Least time from one watch to the next, whoever wants one and whatever the settings say. Guards
-   * discovery, which is small and shared, against a node that has lost its measure.
+   * Minimum time between the starts of two watches, regardless of who requests them and of the
+   * settings. Protects discovery, a small shared service, from a node that calls in a tight loop.
    */
-  private static final long LEAST_DISTANCE_NANOS = 200_000_000L;
+  private static final long MIN_WATCH_INTERVAL_NANOS = 200_000_000L;
 
-  /** Is told what comes of the calls, on the event loop. */
+  /** Receives the results of the calls, on the event loop. */
   public interface Listener {
-    /** A list, or changes of it, have come. */
-    void list(MemberList list);
+    /** Called with each full list or change. */
+    void listReceived(MemberList list);
 
     /**
-     * Something is known of discovery.
+     * Called when the state of discovery or of the list becomes known.
      *
-     * @param at since when at the latest, on the clock of {@link System#nanoTime()}
+     * @param atNanos the latest time at which this became true, as of {@link System#nanoTime()}
      */
-    void listEvidence(long at, ListEvidence evidence);
+    void evidenceObserved(long atNanos, ListEvidence evidence);
 
-    /** A call has failed; it is made again here. */
-    void listTrouble(CallFailure failure);
+    /** Called when a call has failed that this client retries by itself. */
+    void automaticCallFailed(CallFailure failure);
 
-    /** A call that was asked for has failed. */
-    void listFailed(CallFailure failure);
+    /** Called when a watch has failed that the decision module requested. */
+    void requestedCallFailed(CallFailure failure);
   }
 
   private final EventLoop loop;
   private final Bootstrap bootstrap;
-  private final boolean asked;
+  private final boolean onDemand;
   private final Listener listener;
-  private final LongUnaryOperator unreadNanos;
+  private final LongUnaryOperator maxUnreadNanos;
   private SocketAddress address;
   private long version;
-  private long calls;
+  private long callCount;
 
-  /** When the list was last confirmed, or this client was made. */
-  private long confirmedAt = System.nanoTime();
+  /** When the list was last confirmed; initially the time of construction. */
+  private long confirmedNanos = System.nanoTime();
 
   /**
-   * Whether the version may not be counted from, so that the whole list is asked for: after a move,
-   * since two services need not number alike, and after nonsense.
+   * Whether the full list has to be requested, not the changes since the known version: after a
+   * move to another address, since two services may number versions differently, and after
+   * malformed input.
    */
-  private boolean anew;
+  private boolean needsFullList;
 
   private DiscoveryCall watch;
 
-  /** The one call beside the watch, for the whole list that the watch has not told. */
-  private DiscoveryCall reading;
+  /** The call for the full list beside the watch, if the watch did not send it; null for none. */
+  private DiscoveryCall fullListCall;
 
-  private long followedAt = System.nanoTime() - LEAST_DISTANCE_NANOS;
+  private long lastWatchNanos = System.nanoTime() - MIN_WATCH_INTERVAL_NANOS;
 
-  /** Whether a watch is to begin as soon as its distance from the last one allows. */
-  private boolean due;
+  /** Whether a watch is scheduled to start once the minimum interval has passed. */
+  private boolean watchScheduled;
 
   /**
-   * A client that has made no call yet.
+   * Creates a client that makes no call yet.
    *
-   * @param asked whether the list must be asked for
+   * @param onDemand whether watches are started on demand only
    * @param version the version of the list that is known
-   * @param unreadNanos how long bytes that are read at a time can have lain unread at most
+   * @param maxUnreadNanos returns, for the time of a read, how long the bytes read then can have
+   *     been unread at most
    */
   public DiscoveryClient(
       EventLoop loop,
       Bootstrap bootstrap,
       SocketAddress address,
-      boolean asked,
+      boolean onDemand,
       long version,
-      LongUnaryOperator unreadNanos,
+      LongUnaryOperator maxUnreadNanos,
       Listener listener) {
     this.loop = loop;
     this.bootstrap = bootstrap;
     this.address = address;
-    this.asked = asked;
+    this.onDemand = onDemand;
     this.version = version;
-    this.unreadNanos = unreadNanos;
+    this.maxUnreadNanos = maxUnreadNanos;
     this.listener = listener;
   }
 
-  /** Follows the changes from the version last seen on. */
-  public void follow() {
-    long early = followedAt + LEAST_DISTANCE_NANOS - System.nanoTime();
-    if (early <= 0) {
-      if (watch != null && watch.hasBegun()) {
-        evidence(ListEvidence.REACHED);
+  /** Starts a watch for changes since the known version, in place of the current one. */
+  public void startWatch() {
+    long remainingNanos = lastWatchNanos + MIN_WATCH_INTERVAL_NANOS - System.nanoTime();
+    if (remainingNanos <= 0) {
+      if (watch != null && watch.isAwaitingList()) {
+        reportEvidence(ListEvidence.REACHED);
       }
       stop();
-      followedAt = System.nanoTime();
-      watch = call(PATH + "?follow=1" + (anew ? "" : "&since=" + version), true, new WatchOwner());
-    } else if (!due) {
-      due = true;
-      loop.schedule(this::followIfDue, early, TimeUnit.NANOSECONDS);
+      lastWatchNanos = System.nanoTime();
+      watch =
+          startCall(
+              PATH + "?follow=1" + (needsFullList ? "" : "&since=" + version),
+              true,
+              new WatchListener());
+    } else if (!watchScheduled) {
+      watchScheduled = true;
+      loop.schedule(this::startScheduledWatch, remainingNanos, TimeUnit.NANOSECONDS);
     }
   }
 
-  private void followIfDue() {
-    if (due) {
-      due = false;
-      follow();
+  private void startScheduledWatch() {
+    if (watchScheduled) {
+      watchScheduled = false;
+      startWatch();
     }
   }
 
-  private DiscoveryCall call(String path, boolean follows, DiscoveryCall.Owner owner) {
-    calls++;
+  private DiscoveryCall startCall(String path, boolean watch, DiscoveryCall.Listener listener) {
+    callCount++;
     return new DiscoveryCall(
-        loop, bootstrap, new DiscoveryCall.Query(calls, address, path, follows), owner);
+        loop, bootstrap, new DiscoveryCall.Query(callCount, address, path, watch), listener);
   }
 
-  /** Follows the service at another address from now on; until it answers, the list stays. */
-  public void move(SocketAddress to) {
-    // At once: what the old one still says must not pass for the new one's.
+  /** Switches to discovery at another address; the list stays until that service answers. */
+  public void moveTo(SocketAddress newAddress) {
+    // Ended at once, so that no answer of the old service is taken for one of the new service.
     stop();
-    address = to;
-    anew = true;
-    evidence(ListEvidence.MOVED);
-    follow();
+    address = newAddress;
+    needsFullList = true;
+    reportEvidence(ListEvidence.MOVED);
+    startWatch();
   }
 
-  /** Stops following. */
+  /** Ends all calls. */
   public void stop() {
-    due = false;
+    watchScheduled = false;
     if (watch != null) {
-      watch.end();
+      watch.cancel();
       watch = null;
     }
-    stopReading();
+    cancelFullListCall();
   }
 
-  /** The version of the list that was told last. */
+  /** Returns the version of the last list or change. */
   public long version() {
     return version;
   }
 
-  /** Calls that were made since the start. */
-  public long calls() {
-    return calls;
+  /** Returns the number of calls since the start. */
+  public long callCount() {
+    return callCount;
   }
 
-  /** How long ago the list was last confirmed, in milliseconds. */
-  public long confirmedMillis() {
-    return (System.nanoTime() - confirmedAt) / 1_000_000;
+  /** Returns the time since the list was last confirmed, in milliseconds. */
+  public long millisSinceConfirmed() {
+    return (System.nanoTime() - confirmedNanos) / 1_000_000;
   }
 
-  /** All that there is to tell was told just now, or lay unread here for a while. */
-  private void confirm() {
+  /** Reports the list as confirmed at the earliest time at which the bytes just read arrived. */
+  private void reportConfirmed() {
     long now = System.nanoTime();
-    confirmedAt = now - unreadNanos.applyAsLong(now);
-    listener.listEvidence(confirmedAt, ListEvidence.CONFIRMED);
+    confirmedNanos = now - maxUnreadNanos.applyAsLong(now);
+    listener.evidenceObserved(confirmedNanos, ListEvidence.CONFIRMED);
   }
 
-  private void evidence(ListEvidence evidence) {
+  private void reportEvidence(ListEvidence evidence) {
     if (evidence != null) {
-      listener.listEvidence(System.nanoTime(), evidence);
+      listener.evidenceObserved(System.nanoTime(), evidence);
     }
   }
 
-  private void stopReading() {
-    if (reading != null) {
-      reading.end();
-      reading = null;
+  private void cancelFullListCall() {
+    if (fullListCall != null) {
+      fullListCall.cancel();
+      fullListCall = null;
     }
   }
 
-  /** Asks once for the whole list; a call for it that is out already is enough. */
-  private void readOnce() {
-    if (reading == null) {
-      reading = call(PATH, false, new ReadingOwner());
+  /** Requests the full list once, unless a call for it is in flight. */
+  private void requestFullList() {
+    if (fullListCall == null) {
+      fullListCall = startCall(PATH, false, new FullListListener());
     }
   }
 
-  /** Asks for the whole list again, as long as it is missing and the watch that lacks it stands. */
-  private void readAgain() {
-    reading = null;
-    DiscoveryCall since = watch;
+  /** Retries the call for the full list if it is still missing and the same watch is open. */
+  private void retryFullList() {
+    fullListCall = null;
+    DiscoveryCall watchAtFailure = watch;
     loop.schedule(
         () -> {
-          if (anew && watch != null && watch == since) {
-            readOnce();
+          if (needsFullList && watch != null && watch == watchAtFailure) {
+            requestFullList();
           }
         },
-        RETRY_MILLIS,
+        RETRY_DELAY_MILLIS,
         TimeUnit.MILLISECONDS);
   }
 
-  private void take(MemberList list) {
+  private void apply(MemberList list) {
     version = list.version();
-    anew &= !list.full();
-    listener.list(list);
+    needsFullList &= !list.full();
+    listener.listReceived(list);
   }
 
-  private void followAgain() {
+  private void restartWatch() {
     if (watch == null) {
-      follow();
+      startWatch();
     }
   }
 
-  /** What comes of the watch. */
-  private final class WatchOwner implements DiscoveryCall.Owner {
+  /** Handles the results of the watch. */
+  private final class WatchListener implements DiscoveryCall.Listener {
     @Override
-    public void told(DiscoveryCall call, MemberList list) {
-      boolean counted = version <= list.version();
-      take(list);
-      if (!list.full() && (anew || !counted)) {
-        // It tells changes where the whole was asked for, or counts anew: what it leaves out may
-        // have gone.
-        anew = true;
-        readOnce();
+    public void listReceived(DiscoveryCall call, MemberList list) {
+      boolean versionIncreased = version <= list.version();
+      apply(list);
+      if (!list.full() && (needsFullList || !versionIncreased)) {
+        // A change where the full list was requested, or a lower version after a restart of
+        // discovery: servers that it does not mention may have left.
+        needsFullList = true;
+        requestFullList();
       }
     }
 
     @Override
-    public void confirmed(DiscoveryCall call) {
-      if (!anew) {
-        confirm();
+    public void listConfirmed(DiscoveryCall call) {
+      if (!needsFullList) {
+        reportConfirmed();
       }
     }
 
     @Override
-    public void unreadable() {
-      anew = true;
+    public void inputMalformed() {
+      needsFullList = true;
     }
 
     @Override
-    public void failed(DiscoveryCall call, CallFailure failure) {
+    public void callFailed(DiscoveryCall call, CallFailure failure) {
       if (call != watch) {
         return;
       }
       watch = null;
-      stopReading();
-      if (failure.broken() && call.inOrder() && !anew) {
-        // It told all that there was until it ended.
-        confirm();
+      cancelFullListCall();
+      if (failure.endedByPeer() && call.isUpToDate() && !needsFullList) {
+        // The watch was up to date until it ended.
+        reportConfirmed();
       }
-      evidence(failure.evidence(!asked));
-      if (asked) {
-        listener.listFailed(failure);
+      reportEvidence(failure.evidence(!onDemand));
+      if (onDemand) {
+        listener.requestedCallFailed(failure);
       } else {
-        listener.listTrouble(failure);
-        loop.schedule(DiscoveryClient.this::followAgain, RETRY_MILLIS, TimeUnit.MILLISECONDS);
+        listener.automaticCallFailed(failure);
+        loop.schedule(
+            DiscoveryClient.this::restartWatch, RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
       }
     }
   }
 
-  /** What comes of the call for the whole list beside the watch. */
-  private final class ReadingOwner implements DiscoveryCall.Owner {
+  /** Handles the result of the call for the full list beside the watch. */
+  private final class FullListListener implements DiscoveryCall.Listener {
     @Override
-    public void told(DiscoveryCall call, MemberList list) {
+    public void listReceived(DiscoveryCall call, MemberList list) {
       if (list.version() < version) {
-        // Older than what the watch has told since: it would take servers back.
-        readAgain();
+        // Older than the last change on the watch: it would restore servers that have left.
+        retryFullList();
         return;
       }
-      reading = null;
-      take(list);
-      confirm();
+      fullListCall = null;
+      apply(list);
+      reportConfirmed();
     }
 
     @Override
-    public void confirmed(DiscoveryCall call) {
-      // Its one answer tells all.
+    public void listConfirmed(DiscoveryCall call) {
+      // Only watches send heartbeats.
     }
 
     @Override
-    public void unreadable() {
-      anew = true;
+    public void inputMalformed() {
+      needsFullList = true;
     }
 
     @Override
-    public void failed(DiscoveryCall call, CallFailure failure) {
-      if (call == reading) {
-        // The watch stands and tells all changes: the list has not failed.
-        evidence(ListEvidence.REACHED);
-        listener.listTrouble(failure);
-        readAgain();
+    public void callFailed(DiscoveryCall call, CallFailure failure) {
+      if (call == fullListCall) {
+        // The watch is open and sends all changes, so getting the list has not failed.
+        reportEvidence(ListEvidence.REACHED);
+        listener.automaticCallFailed(failure);
+        retryFullList();
       }
     }
   }
--- a/src/main/java/beamspread/node/discovery/ListLog.java
+++ b/src/main/java/beamspread/node/discovery/ListLog.java
@@ -6,81 +6,88 @@
 import java.util.function.Consumer;
 
 /**
- * Logs and counts what happens to the list of cache servers: each version that is taken over, each
- * failed call until there have been many in a row, and faults in the list's lines.
+ * Logs and counts events of the list of cache servers: each version that is applied, failed calls,
+ * and faults in its entries. After many consecutive failures only one per minute is logged.
  */
 public final class ListLog {
-  private static final long REPEAT_NANOS = 60_000_000_000L;
+  private static final long REPEAT_INTERVAL_NANOS = 60_000_000_000L;
 
-  /** Kinds of faults that are remembered. */
-  private static final int REMEMBERED = 64;
+  /** Number of distinct faults whose last log time is remembered. */
+  private static final int MAX_REMEMBERED_FAULTS = 64;
 
-  /** Failures in a row that are logged one by one; after them one a minute is. */
-  private static final int LOGGED_IN_A_ROW = 20;
+  /** Consecutive failures that are each logged; later ones are logged once a minute. */
+  private static final int MAX_CONSECUTIVE_LOGGED = 20;
 
   private final Consumer<String> log;
-  private final Map<CallFailure.Kind, Long> failures = new EnumMap<>(CallFailure.Kind.class);
-  private int inARow;
-  private long loggedFailureAt;
+  private final Map<CallFailure.Kind, Long> failuresByKind = new EnumMap<>(CallFailure.Kind.class);
+  private int consecutiveFailures;
+  private long lastFailureLoggedNanos;
 
-  private final Map<String, Long> faultLoggedAt =
+  private final Map<String, Long> faultLoggedNanos =
       new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Long> eldest) {
-          return size() > REMEMBERED;
+          return size() > MAX_REMEMBERED_FAULTS;
         }
       };
 
   /**
-   * A log that has counted nothing yet.
+   * Creates a log without any counts.
    *
-   * @param log takes its lines
+   * @param log receives the log lines
    */
   public ListLog(Consumer<String> log) {
     this.log = log;
   }
 
-  /** A line of the list can't be worked with; the same is logged at most once a minute. */
-  public void fault(String why) {
+  /** Logs an unusable entry of the list; the same text at most once a minute. */
+  public void logFault(String description) {
     long now = System.nanoTime();
-    Long before = faultLoggedAt.get(why);
-    if (before == null || now - before > REPEAT_NANOS) {
-      faultLoggedAt.put(why, now);
-      log.accept("discovery: " + why);
+    Long lastLoggedNanos = faultLoggedNanos.get(description);
+    if (lastLoggedNanos == null || now - lastLoggedNanos > REPEAT_INTERVAL_NANOS) {
+      faultLoggedNanos.put(description, now);
+      log.accept("discovery: " + description);
     }
   }
 
-  /** A list, or a change of it, is taken over. */
-  public void told(MemberList list) {
-    String after = inARow == 0 ? "" : " after " + inARow + " failed calls";
+  /** Logs that a full list or a change was applied. */
+  public void listReceived(MemberList list) {
+    String failedCalls =
+        consecutiveFailures == 0 ? "" : " after " + consecutiveFailures + " failed calls";
     log.accept(
         "discovery: version %d (%s, %d servers)%s"
             .formatted(
-                list.version(), list.full() ? "whole" : "changes", list.members().size(), after));
-    inARow = 0;
+                list.version(),
+                list.full() ? "full list" : "changes",
+                list.members().size(),
+                failedCalls));
+    consecutiveFailures = 0;
   }
 
-  /** A call has failed. */
-  public void failed(CallFailure failure) {
-    failures.merge(failure.kind(), 1L, Long::sum);
-    inARow++;
+  /** Counts a failed call and logs it, unless there have been too many in a row. */
+  public void callFailed(CallFailure failure) {
+    failuresByKind.merge(failure.kind(), 1L, Long::sum);
+    consecutiveFailures++;
     long now = System.nanoTime();
-    if (inARow <= LOGGED_IN_A_ROW || now - loggedFailureAt > REPEAT_NANOS) {
-      loggedFailureAt = now;
+    if (consecutiveFailures <= MAX_CONSECUTIVE_LOGGED
+        || now - lastFailureLoggedNanos > REPEAT_INTERVAL_NANOS) {
+      lastFailureLoggedNanos = now;
       log.accept(
           "discovery: call %d: %s after %d ms%s"
               .formatted(
-                  failure.call(),
-                  failure.text(),
-                  failure.millis(),
-                  failure.progress() == CallFailure.Progress.TOLD ? ", a watch that stood" : ""));
+                  failure.callNumber(),
+                  failure.description(),
+                  failure.durationMillis(),
+                  failure.progress() == CallFailure.Progress.LIST_RECEIVED
+                      ? ", established watch"
+                      : ""));
     }
   }
 
-  /** How many calls have ended in each way since the start. */
-  public Map<CallFailure.Kind, Long> failures() {
-    return failures;
+  /** Returns how many calls have failed since the start, by cause. */
+  public Map<CallFailure.Kind, Long> failuresByKind() {
+    return failuresByKind;
   }
 }
--- a/src/main/java/beamspread/node/discovery/ListStatus.java
+++ b/src/main/java/beamspread/node/discovery/ListStatus.java
@@ -6,32 +6,32 @@
 import java.util.Map;
 
 /**
- * What a node tells of its list of cache servers.
+ * The state of the list of cache servers, as a node reports it in its status.
  *
- * @param version its version
- * @param confirmedMillis how long ago discovery last confirmed it, in milliseconds
- * @param expired whether it is too old for requests to go out by it
- * @param expiries how often it has become so since the start
- * @param calls calls made since the start
- * @param failures how many of them ended in each way
+ * @param version the version of the list
+ * @param millisSinceConfirmed the time since discovery last confirmed the list, in milliseconds
+ * @param expired whether the list is too old to send requests by it
+ * @param expiries how often the list has expired since the start
+ * @param calls number of calls since the start
+ * @param failuresByKind number of failed calls since the start, by cause
  */
 public record ListStatus(
     long version,
-    long confirmedMillis,
+    long millisSinceConfirmed,
     boolean expired,
     long expiries,
     long calls,
-    Map<CallFailure.Kind, Long> failures) {
+    Map<CallFailure.Kind, Long> failuresByKind) {
 
   /** Writes the field {@code list}. */
   public void write(JsonGenerator json) throws IOException {
     json.writeObjectFieldStart("list");
     json.writeNumberField("version", version);
-    json.writeNumberField("confirmed_ms_ago", confirmedMillis);
+    json.writeNumberField("confirmed_ms_ago", millisSinceConfirmed);
     json.writeBooleanField("expired", expired);
     json.writeNumberField("expiries", expiries);
     json.writeNumberField("calls", calls);
-    Json.writeCounts(json, "failed_calls", failures);
+    Json.writeCounts(json, "failed_calls", failuresByKind);
     json.writeEndObject();
   }
 }
--- a/src/main/java/beamspread/node/discovery/MemberList.java
+++ b/src/main/java/beamspread/node/discovery/MemberList.java
@@ -14,16 +14,16 @@
 import java.util.UUID;
 
 /**
- * The list of cache servers, or a change of it, in discovery's form.
+ * The list of cache servers, or a change to it, as discovery sends it.
  *
- * @param full whether it is the whole list
- * @param version its version
- * @param members its lines
- * @param faults what can't be worked with in them, in words for operators
+ * @param full whether this is the full list, not a change
+ * @param version the version of the list
+ * @param members the entries
+ * @param faults descriptions of unusable entries, for the log
  */
 public record MemberList(boolean full, long version, List<Member> members, List<String> faults) {
 
-  /** One whose lines can all be worked with. */
+  /** Creates a list without faults. */
   public MemberList(boolean full, long version, List<Member> members) {
     this(full, version, members, List.of());
   }
@@ -31,85 +31,88 @@
   /**
    * One cache server.
    *
-   * @param entry what the decision module is told of it
-   * @param address where this node reaches it; null for one that has left, or whose address can't
-   *     be read
+   * @param entry the server as the decision module sees it
+   * @param address the address of the server; null if it has left the list or if its address is
+   *     invalid
    */
   public record Member(ServerEntry entry, SocketAddress address) {}
 
   /**
-   * Reads a list as discovery writes it. A line whose address can't be read is kept without one.
+   * Parses a list in discovery's format. An entry with an invalid address is kept without address.
    *
-   * @throws WireException if it is no list, or if no line of it has a good address
+   * @throws WireException if the message is not a list, or if no entry has a valid address
    */
-  public static MemberList parse(Message list) throws WireException {
+  public static MemberList parse(Message message) throws WireException {
     List<Member> members = new ArrayList<>();
     List<String> faults = new ArrayList<>();
-    for (Message line : list.requiredObjects("servers")) {
+    for (Message server : message.requiredObjects("servers")) {
       ServerEntry.State state =
-          switch (line.requiredText("state")) {
+          switch (server.requiredText("state")) {
             case "active" -> ServerEntry.State.READY;
             case "left" -> ServerEntry.State.GONE;
             default -> ServerEntry.State.DRAINING;
           };
       SocketAddress address = null;
       if (state != ServerEntry.State.GONE) {
-        String text = line.requiredText("addr");
+        String addressText = server.requiredText("addr");
         try {
-          address = address(text);
+          address = parseAddress(addressText);
         } catch (WireException e) {
-          // One bad line keeps none of the others back.
-          faults.add("server " + line.requiredText("id") + ": addr: " + e.getMessage());
+          // One invalid entry must not block the others.
+          faults.add("server " + server.requiredText("id") + ": addr: " + e.getMessage());
         }
       }
       members.add(
           new Member(
               new ServerEntry(
-                  number(line.requiredText("id")),
-                  line.text("zone", ""),
-                  line.text("kind", ""),
-                  (int) line.number("cell", 0),
+                  serverNumber(server.requiredText("id")),
+                  server.text("zone", ""),
+                  server.text("kind", ""),
+                  (int) server.number("cell", 0),
                   state,
-                  line.number("weight", 1),
-                  line.number("started_ms", 0) / 1e3),
+                  server.number("weight", 1),
+                  server.number("started_ms", 0) / 1e3),
               address));
     }
     if (!faults.isEmpty() && faults.size() == members.size()) {
       throw new WireException(faults.get(0));
     }
     return new MemberList(
-        list.flag("full"), (long) list.requiredNumber("version"), members, faults);
+        message.flag("full"), (long) message.requiredNumber("version"), members, faults);
   }
 
   /**
-   * The number by which the module knows a server: made from the id alone, so that all nodes agree
-   * on a key's home, and wide enough that no two ids of a fleet meet.
+   * Returns the number that identifies a server in the decision module. It depends on the id alone,
+   * so that all nodes map a key to the same server, and has 64 bits, so that no two ids of a fleet
+   * collide.
    */
-  public static long number(String id) {
+  public static long serverNumber(String id) {
     return UUID.nameUUIDFromBytes(id.getBytes(StandardCharsets.UTF_8)).getMostSignificantBits();
   }
 
-  /** An address and port written in figures: there is no DNS. */
-  public static InetSocketAddress address(String text) throws WireException {
-    return address(text, 1);
+  /** Parses a numeric IP address and port; names are not resolved. */
+  public static InetSocketAddress parseAddress(String text) throws WireException {
+    return parseAddress(text, 1);
   }
 
-  /** As an address to listen on: port 0 has the system choose one, which the status tells. */
-  public static InetSocketAddress listenAddress(String text) throws WireException {
-    return address(text, 0);
+  /**
+   * Parses an address to listen on. With port 0 the system chooses a port, which is in the status.
+   */
+  public static InetSocketAddress parseListenAddress(String text) throws WireException {
+    return parseAddress(text, 0);
   }
 
-  private static InetSocketAddress address(String text, int leastPort) throws WireException {
+  private static InetSocketAddress parseAddress(String text, int minPort) throws WireException {
     int colon = text.lastIndexOf(':');
-    byte[] ip =
+    byte[] ipBytes =
         colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
     try {
       int port = Integer.parseInt(text.substring(colon + 1));
-      if (ip != null && port >= leastPort && port < 1 << 16) {
-        return new InetSocketAddress(InetAddress.getByAddress(ip), port);
+      if (ipBytes != null && port >= minPort && port < 1 << 16) {
+        return new InetSocketAddress(InetAddress.getByAddress(ipBytes), port);
       }
     } catch (NumberFormatException | UnknownHostException e) {
-      // Told below.
+      // Reported below.
     }
     throw new WireException("'" + text + "' is not an IP address and port");
   }
--- a/src/main/java/beamspread/node/discovery/package-info.java
+++ b/src/main/java/beamspread/node/discovery/package-info.java
@@ -1,2 +1,2 @@
-/** The list of cache servers: calls to discovery, their answers and failures, the log of both. */
+/** The client of the discovery service: its calls, their failures, and the list they return. */
 package beamspread.node.discovery;
--- a/src/main/java/beamspread/node/handover/LearntNote.java
+++ b/src/main/java/beamspread/node/handover/LearntJson.java
@@ -9,29 +9,31 @@
 import java.util.Map;
 
 /**
- * What a process has learnt, as JSON for the one that takes over. Read with care: a note that is
- * old, or of another version, or that makes no sense is no note.
+ * Writes and reads the learnt state of a process as JSON, for the process that takes over. Data
+ * that is too old, of another version, or malformed is ignored.
  */
-public final class LearntNote {
-  /** A note tells of the load of now: this many seconds on it tells nothing any more. */
-  public static final double FRESH_SECONDS = 5;
+public final class LearntJson {
+  /** Maximum age of learnt state, in seconds; older state says nothing about the current load. */
+  public static final double MAX_AGE_SECONDS = 5;
 
-  private LearntNote() {}
+  private LearntJson() {}
 
   /**
-   * Writes a note.
+   * Writes learnt state.
    *
-   * @param at the clock's time, in seconds since 1970
-   * @return null if too little is learnt yet for a note
+   * @param nowSeconds the current time, in seconds since 1970
+   * @return the JSON in UTF-8; null if not all rates have been learnt yet
    */
-  public static byte[] write(double at, Learnt learnt) {
-    if (!rate(learnt.warmRate()) || !rate(learnt.answerRate()) || !rate(learnt.requestRate())) {
+  public static byte[] write(double nowSeconds, Learnt learnt) {
+    if (!isValidRate(learnt.warmRate())
+        || !isValidRate(learnt.answerRate())
+        || !isValidRate(learnt.requestRate())) {
       return null;
     }
     return Json.object(
             json -> {
               json.writeNumberField("version", 1);
-              json.writeNumberField("at", at);
+              json.writeNumberField("at", nowSeconds);
               json.writeNumberField("warm_rate", learnt.warmRate());
               json.writeNumberField("answer_rate", learnt.answerRate());
               json.writeNumberField("request_rate", learnt.requestRate());
@@ -44,31 +46,32 @@
         .getBytes(StandardCharsets.UTF_8);
   }
 
-  private static boolean rate(double value) {
+  private static boolean isValidRate(double value) {
     return value > 0 && value < 1e9;
   }
 
   /**
-   * Reads a note.
+   * Reads learnt state.
    *
-   * @param now the clock's time, in seconds since 1970
-   * @return null if it is none, or too old
+   * @param nowSeconds the current time, in seconds since 1970
+   * @param bytes the JSON in UTF-8
+   * @return null if the bytes are malformed or too old
    */
-  public static Learnt read(double now, byte[] note) {
+  public static Learnt read(double nowSeconds, byte[] bytes) {
     Message json;
     try {
-      json = Message.parse(new String(note, StandardCharsets.UTF_8));
+      json = Message.parse(new String(bytes, StandardCharsets.UTF_8));
     } catch (WireException e) {
       return null;
     }
-    double age = now - json.number("at", Double.NEGATIVE_INFINITY);
-    if (json.number("version", 0) != 1 || !(Math.abs(age) <= FRESH_SECONDS)) {
+    double age = nowSeconds - json.number("at", Double.NEGATIVE_INFINITY);
+    if (json.number("version", 0) != 1 || !(Math.abs(age) <= MAX_AGE_SECONDS)) {
       return null;
     }
-    Message told = json.nested("shares");
+    Message shareFields = json.nested("shares");
     Map<Long, Double> shares = new HashMap<>();
-    for (String server : told.names()) {
-      double share = told.number(server, Double.NaN);
+    for (String server : shareFields.names()) {
+      double share = shareFields.number(server, Double.NaN);
       try {
         if (share > 0 && share <= 1) {
           shares.put(Long.parseUnsignedLong(server, 16), share);
@@ -83,7 +86,9 @@
             json.number("answer_rate", 0),
             json.number("request_rate", 0),
             shares);
-    return rate(learnt.warmRate()) && rate(learnt.answerRate()) && rate(learnt.requestRate())
+    return isValidRate(learnt.warmRate())
+            && isValidRate(learnt.answerRate())
+            && isValidRate(learnt.requestRate())
         ? learnt
         : null;
   }
--- a/src/main/java/beamspread/node/handover/SharedFolder.java
+++ b/src/main/java/beamspread/node/handover/SharedFolder.java
@@ -22,206 +22,217 @@
 import java.util.Set;
 
 /**
- * A folder that all processes of one node share. Each has a file of its own, locked for as long as
- * it lives: the system lets go of the lock whatever ends the process, so that what a killed one
- * leaves behind is told from one that runs. A server that is taken out is one empty file, named by
- * its number: two processes that write at the same time spoil nothing, and no half file can be
- * read.
+ * A folder that all processes of one node share. Each process keeps a file of its own locked while
+ * it runs. The operating system releases the lock however the process ends, so that the file of a
+ * killed process can be told from that of a running one. A detached server is represented by an
+ * empty file named by its number, so that concurrent writers do not conflict and no partly written
+ * file can be read.
  */
 public final class SharedFolder implements AutoCloseable {
-  private static final String PROCESS = "process-";
-  private static final String DETACHED = "detached-";
-  private static final String LEARNT = "learnt";
+  private static final String PROCESS_PREFIX = "process-";
+  private static final String DETACHED_PREFIX = "detached-";
+  private static final String LEARNT_NAME = "learnt";
 
-  /** A note of more bytes than this is none of ours. */
-  private static final int LONGEST_NOTE = 1 << 20;
+  /** Maximum size of learnt state; a larger file was not written by a node. */
+  private static final int MAX_LEARNT_BYTES = 1 << 20;
 
-  /** Files looked at in one go: far above what a node writes, so that a look stays short. */
-  private static final int MOST_FILES = 8192;
+  /** Maximum files read in one scan, to keep it short; a node writes far fewer. */
+  private static final int MAX_FILES_PER_SCAN = 8192;
 
-  /** What a process is at. */
+  /** The phase of a process's life. */
   public enum Phase {
-    /** It has begun and takes no clients yet. */
+    /** The process has started and does not accept clients yet. */
     STARTS,
+    /** The process accepts clients. */
     TAKES,
-    /** It answers what it has taken, and takes no more. */
+    /** The process answers its open requests and accepts no clients any more. */
     ENDS
   }
 
   /**
-   * What a process shows the others of itself.
+   * The state that a process publishes to the others.
    *
-   * @param phase what it is at
-   * @param clients connections of clients that it holds
-   * @param servers sockets to cache servers that it holds
-   * @param open requests that it has taken and not answered
+   * @param phase the phase of the process
+   * @param clientConnections number of its client connections
+   * @param serverConnections number of its sockets to cache servers
+   * @param openRequests number of its open requests
    */
-  public record Shown(Phase phase, int clients, int servers, int open) {
-    static final int BYTES = 13;
+  public record ProcessStatus(
+      Phase phase, int clientConnections, int serverConnections, int openRequests) {
+    /** A byte for the phase and three ints. */
+    static final int ENCODED_BYTES = 13;
   }
 
   /**
-   * What a look has found.
+   * The contents of the folder at one time.
    *
-   * @param detached servers that are taken out, by their numbers
-   * @param others what the other living processes of this node show
+   * @param detachedServers the numbers of the detached servers
+   * @param otherProcesses the states of the other running processes of this node
    */
-  public record Sight(Set<Long> detached, List<Shown> others) {
-    /** Whether another process takes clients. */
-    public boolean othersTake() {
-      return others.stream().anyMatch(other -> other.phase() == Phase.TAKES);
+  public record Snapshot(Set<Long> detachedServers, List<ProcessStatus> otherProcesses) {
+    /** Returns whether another process accepts clients. */
+    public boolean otherAcceptsClients() {
+      return otherProcesses.stream().anyMatch(other -> other.phase() == Phase.TAKES);
     }
   }
 
   private final Path folder;
-  private final Path own;
+  private final Path ownFile;
   private final FileChannel channel;
   private final FileLock lock;
 
-  private SharedFolder(Path folder, Path own, FileChannel channel, FileLock lock) {
+  private SharedFolder(Path folder, Path ownFile, FileChannel channel, FileLock lock) {
     this.folder = folder;
-    this.own = own;
+    this.ownFile = ownFile;
     this.channel = channel;
     this.lock = lock;
   }
 
   /**
-   * Opens the folder, making it if need be, and shows that this process lives.
+   * Opens the folder, creating it if necessary, and creates and locks this process's file.
    *
-   * @throws IOException if it can't be used, or is not this user's alone
+   * @throws IOException if the folder can't be used, or if other users have access to it
    */
   public static SharedFolder open(Path folder) throws IOException {
-    Set<PosixFilePermission> mine = PosixFilePermissions.fromString("rwx------");
+    Set<PosixFilePermission> ownerOnly = PosixFilePermissions.fromString("rwx------");
     try {
-      Files.createDirectory(folder, PosixFilePermissions.asFileAttribute(mine));
+      Files.createDirectory(folder, PosixFilePermissions.asFileAttribute(ownerOnly));
     } catch (FileAlreadyExistsException e) {
-      // Guards against a folder that another user has put where all may write.
+      // In a parent folder with write access for all, another user may have created the folder.
       if (!Files.isDirectory(folder, LinkOption.NOFOLLOW_LINKS)
-          || !Files.getPosixFilePermissions(folder, LinkOption.NOFOLLOW_LINKS).equals(mine)) {
-        throw new IOException(folder + " is not a folder for this user alone (mode 700)");
+          || !Files.getPosixFilePermissions(folder, LinkOption.NOFOLLOW_LINKS).equals(ownerOnly)) {
+        throw new IOException(
+            folder + " is not a folder that only this user can access (mode 700)");
       }
     }
-    Path own = folder.resolve(PROCESS + ProcessHandle.current().pid() + "-" + System.nanoTime());
+    Path ownFile =
+        folder.resolve(PROCESS_PREFIX + ProcessHandle.current().pid() + "-" + System.nanoTime());
     FileChannel channel =
-        FileChannel.open(own, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
+        FileChannel.open(ownFile, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
     FileLock lock = channel.tryLock();
     if (lock == null) {
       channel.close();
-      throw new IOException(own + " cannot be locked");
+      throw new IOException(ownFile + " cannot be locked");
     }
-    return new SharedFolder(folder, own, channel, lock);
+    return new SharedFolder(folder, ownFile, channel, lock);
   }
 
-  /** Shows the others what this process is at. */
-  public void show(Shown now) throws IOException {
-    ByteBuffer bytes = ByteBuffer.allocate(Shown.BYTES);
-    bytes.put((byte) now.phase().ordinal()).putInt(now.clients()).putInt(now.servers());
-    bytes.putInt(now.open()).flip();
+  /** Publishes the state of this process to the others. */
+  public void publish(ProcessStatus status) throws IOException {
+    ByteBuffer bytes = ByteBuffer.allocate(ProcessStatus.ENCODED_BYTES);
+    bytes
+        .put((byte) status.phase().ordinal())
+        .putInt(status.clientConnections())
+        .putInt(status.serverConnections());
+    bytes.putInt(status.openRequests()).flip();
     channel.write(bytes, 0);
   }
 
-  /** Looks at what is there now; clears away what processes left that have ended. */
-  public Sight look() throws IOException {
+  /** Reads the folder, and deletes the files of processes that have ended. */
+  public Snapshot scan() throws IOException {
     Set<Long> detached = new HashSet<>();
-    List<Shown> others = new ArrayList<>();
+    List<ProcessStatus> others = new ArrayList<>();
     int files = 0;
-    try (DirectoryStream<Path> all = Files.newDirectoryStream(folder)) {
-      for (Path file : all) {
+    try (DirectoryStream<Path> entries = Files.newDirectoryStream(folder)) {
+      for (Path file : entries) {
         String name = file.getFileName().toString();
-        if (++files > MOST_FILES) {
+        if (++files > MAX_FILES_PER_SCAN) {
           break;
         }
-        if (name.startsWith(DETACHED)) {
-          number(name, detached);
-        } else if (name.startsWith(PROCESS) && !file.equals(own)) {
-          Shown shown = shown(file);
-          if (shown != null) {
-            others.add(shown);
+        if (name.startsWith(DETACHED_PREFIX)) {
+          addServerNumber(name, detached);
+        } else if (name.startsWith(PROCESS_PREFIX) && !file.equals(ownFile)) {
+          ProcessStatus status = readStatus(file);
+          if (status != null) {
+            others.add(status);
           }
         }
       }
     } catch (DirectoryIteratorException e) {
       throw e.getCause();
     }
-    return new Sight(detached, others);
+    return new Snapshot(detached, others);
   }
 
-  private static void number(String name, Set<Long> into) {
+  private static void addServerNumber(String name, Set<Long> servers) {
     try {
-      into.add(Long.parseUnsignedLong(name.substring(DETACHED.length()), 16));
+      servers.add(Long.parseUnsignedLong(name.substring(DETACHED_PREFIX.length()), 16));
     } catch (NumberFormatException e) {
-      // A file of somebody else's: not ours to read or to clear away.
+      // Not written by a node: neither read nor deleted.
     }
   }
 
-  /** What a living process shows, null if it lives no more. */
-  private static Shown shown(Path file) throws IOException {
+  /** Returns the state of a running process; deletes the file and returns null if it has ended. */
+  private static ProcessStatus readStatus(Path file) throws IOException {
     try (FileChannel other =
         FileChannel.open(file, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
-      if (!locked(other)) {
+      if (!isLocked(other)) {
         Files.deleteIfExists(file);
         return null;
       }
-      ByteBuffer bytes = ByteBuffer.allocate(Shown.BYTES);
-      if (other.read(bytes, 0) < Shown.BYTES || bytes.get(0) >= Phase.values().length) {
-        return new Shown(Phase.STARTS, 0, 0, 0);
+      ByteBuffer bytes = ByteBuffer.allocate(ProcessStatus.ENCODED_BYTES);
+      if (other.read(bytes, 0) < ProcessStatus.ENCODED_BYTES
+          || bytes.get(0) >= Phase.values().length) {
+        return new ProcessStatus(Phase.STARTS, 0, 0, 0);
       }
       bytes.flip();
-      return new Shown(Phase.values()[bytes.get()], bytes.getInt(), bytes.getInt(), bytes.getInt());
+      return new ProcessStatus(
+          Phase.values()[bytes.get()], bytes.getInt(), bytes.getInt(), bytes.getInt());
     } catch (NoSuchFileException e) {
       return null;
     }
   }
 
-  private static boolean locked(FileChannel other) throws IOException {
+  private static boolean isLocked(FileChannel other) throws IOException {
     try {
       return other.tryLock() == null;
     } catch (OverlappingFileLockException e) {
-      return true; // Another node of this same process, as in tests.
+      return true; // Locked by another node in this JVM, as in tests.
     }
   }
 
   private Path detachedFile(long server) {
-    return folder.resolve(DETACHED + Long.toHexString(server));
+    return folder.resolve(DETACHED_PREFIX + Long.toHexString(server));
   }
 
-  /** Leaves a note of what this process has learnt; a reader finds a whole one or none. */
-  public void leaveLearnt(byte[] note) throws IOException {
-    Path whole = folder.resolve(LEARNT);
-    Path next = folder.resolve(LEARNT + "-" + ProcessHandle.current().pid());
-    Files.write(next, note);
-    Files.move(next, whole, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+  /** Replaces the learnt state atomically. */
+  public void writeLearnt(byte[] bytes) throws IOException {
+    Path target = folder.resolve(LEARNT_NAME);
+    Path temporary = folder.resolve(LEARNT_NAME + "-" + ProcessHandle.current().pid());
+    Files.write(temporary, bytes);
+    Files.move(
+        temporary, target, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
   }
 
-  /** The note that was left last, null if there is none. */
-  public byte[] learnt() throws IOException {
-    Path whole = folder.resolve(LEARNT);
+  /** Returns the learnt state that was written last; null if there is none or it is too large. */
+  public byte[] readLearnt() throws IOException {
+    Path file = folder.resolve(LEARNT_NAME);
     try {
-      return Files.size(whole) > LONGEST_NOTE ? null : Files.readAllBytes(whole);
+      return Files.size(file) > MAX_LEARNT_BYTES ? null : Files.readAllBytes(file);
     } catch (NoSuchFileException e) {
       return null;
     }
   }
 
-  /** Puts on record that a server is taken out, if it is not yet. */
+  /** Records that a server is detached; does nothing if it is already. */
   public void detach(long server) throws IOException {
     try {
       Files.createFile(detachedFile(server));
     } catch (FileAlreadyExistsException e) {
-      // Another process of this node, or an earlier call, was first.
+      // Already recorded by another process of this node or by an earlier call.
     }
   }
 
-  /** Puts on record that a server is back. */
+  /** Records that a server is attached again. */
   public void attach(long server) throws IOException {
     Files.deleteIfExists(detachedFile(server));
   }
 
-  /** Shows the others that this process is gone. What is taken out stays on record. */
+  /** Deletes this process's file and releases its lock. Detached servers stay recorded. */
   @Override
   public void close() throws IOException {
     try {
-      Files.deleteIfExists(own);
+      Files.deleteIfExists(ownFile);
     } finally {
       lock.close();
       channel.close();
--- a/src/main/java/beamspread/node/handover/package-info.java
+++ b/src/main/java/beamspread/node/handover/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What two processes of one node share while a new version takes over from an old one: a folder.
- * Blocking, but only on a small local folder, and a few calls each time.
+ * The folder that two processes of one node share while a new version takes over from an old one.
+ * File access blocks, but it is limited to a few calls on a small local folder.
  */
 package beamspread.node.handover;
--- a/src/main/java/beamspread/node/mgmt/MgmtCalls.java
+++ b/src/main/java/beamspread/node/mgmt/MgmtCalls.java
@@ -3,30 +3,30 @@
 import beamspread.node.wire.Json;
 import io.netty.handler.codec.http.HttpResponseStatus;
 
-/** What operators can ask of a node. All of it runs on the event loop. */
+/** The management calls of a node. Runs on the event loop only. */
 public interface MgmtCalls {
   /**
-   * An answer.
+   * The answer to a call.
    *
-   * @param status 2xx for yes, 4xx or 5xx for no
+   * @param status 2xx for success, 4xx or 5xx for an error
    * @param json the body, one JSON object
    */
   record Answer(HttpResponseStatus status, String json) {
-    /** A no, and why. */
-    public static Answer no(HttpResponseStatus status, String why) {
-      return new Answer(status, Json.object("error", why));
+    /** Returns an error answer with a message. */
+    public static Answer error(HttpResponseStatus status, String message) {
+      return new Answer(status, Json.object("error", message));
     }
   }
 
-  /** Whether this process takes clients. */
+  /** Returns whether this process accepts clients. */
   boolean ready();
 
-  /** The figures, as one JSON object. */
-  String figures();
+  /** Returns the metrics as one JSON object. */
+  String metrics();
 
-  /** Takes the cache server of this id out of use, until it is put back. */
+  /** Detaches the cache server with this id: it gets no requests until it is attached again. */
   Answer detach(String id);
 
-  /** Puts the cache server of this id back into use. */
+  /** Attaches the cache server with this id again. */
   Answer attach(String id);
 }
--- a/src/main/java/beamspread/node/mgmt/MgmtHandler.java
+++ b/src/main/java/beamspread/node/mgmt/MgmtHandler.java
@@ -20,7 +20,7 @@
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
 
-/** One call of an operator. */
+/** Handles the one management call of a connection. */
 final class MgmtHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
   private static final String DETACH = "/_cache-servers/detach";
   private static final String ATTACH = "/_cache-servers/attach";
@@ -30,7 +30,9 @@
   private boolean answered;
 
   /**
-   * @param token what callers must name to change anything, null for nothing
+   * Creates the handler of one connection.
+   *
+   * @param token the bearer token that calls which change something must have; null for none
    */
   MgmtHandler(MgmtCalls calls, byte[] token) {
     this.calls = calls;
@@ -43,7 +45,7 @@
       return;
     }
     if (call.decoderResult().isFailure()) {
-      answer(ctx, Answer.no(HttpResponseStatus.BAD_REQUEST, "not a call by HTTP/1.1"));
+      answer(ctx, Answer.error(HttpResponseStatus.BAD_REQUEST, "not a call by HTTP/1.1"));
       return;
     }
     String path = call.uri();
@@ -53,44 +55,44 @@
         ctx,
         switch (path) {
           case "/_ready" -> get(call, this::ready);
-          case "/_vars" -> get(call, () -> new Answer(HttpResponseStatus.OK, calls.figures()));
-          case DETACH, ATTACH -> change(call, path.equals(DETACH));
-          default -> Answer.no(HttpResponseStatus.NOT_FOUND, "no such call: " + path);
+          case "/_vars" -> get(call, () -> new Answer(HttpResponseStatus.OK, calls.metrics()));
+          case DETACH, ATTACH -> changeServer(call, path.equals(DETACH));
+          default -> Answer.error(HttpResponseStatus.NOT_FOUND, "no such call: " + path);
         });
   }
 
   private static Answer get(FullHttpRequest call, java.util.function.Supplier<Answer> answer) {
     return call.method().equals(HttpMethod.GET)
         ? answer.get()
-        : Answer.no(HttpResponseStatus.METHOD_NOT_ALLOWED, "this is asked by GET");
+        : Answer.error(HttpResponseStatus.METHOD_NOT_ALLOWED, "this is asked by GET");
   }
 
   private Answer ready() {
     return calls.ready()
         ? new Answer(HttpResponseStatus.OK, "{\"ready\":true}")
-        : Answer.no(HttpResponseStatus.SERVICE_UNAVAILABLE, "takes no clients");
+        : Answer.error(HttpResponseStatus.SERVICE_UNAVAILABLE, "takes no clients");
   }
 
-  private Answer change(FullHttpRequest call, boolean detach) {
+  private Answer changeServer(FullHttpRequest call, boolean detach) {
     if (!call.method().equals(HttpMethod.POST)) {
-      return Answer.no(HttpResponseStatus.METHOD_NOT_ALLOWED, "this is asked by POST");
+      return Answer.error(HttpResponseStatus.METHOD_NOT_ALLOWED, "this is asked by POST");
     }
-    if (!mayChange(call)) {
-      return Answer.no(HttpResponseStatus.UNAUTHORIZED, "needs the token of mgmt_token_file");
+    if (!isAuthorized(call)) {
+      return Answer.error(HttpResponseStatus.UNAUTHORIZED, "needs the token of mgmt_token_file");
     }
     String id;
     try {
       id = Message.parse(call.content().toString(StandardCharsets.UTF_8)).text("member", null);
     } catch (WireException e) {
-      return Answer.no(HttpResponseStatus.BAD_REQUEST, "the body is " + e.getMessage());
+      return Answer.error(HttpResponseStatus.BAD_REQUEST, "the body is " + e.getMessage());
     }
     if (id == null || id.isEmpty()) {
-      return Answer.no(HttpResponseStatus.BAD_REQUEST, "the body has no 'member'");
+      return Answer.error(HttpResponseStatus.BAD_REQUEST, "the body has no 'member'");
     }
     return detach ? calls.detach(id) : calls.attach(id);
   }
 
-  private boolean mayChange(FullHttpRequest call) {
+  private boolean isAuthorized(FullHttpRequest call) {
     if (token == null) {
       return true;
     }
@@ -116,7 +118,7 @@
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
     if (cause instanceof TooLongFrameException && !answered) {
-      answer(ctx, Answer.no(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, cause.getMessage()));
+      answer(ctx, Answer.error(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, cause.getMessage()));
     } else {
       ctx.close();
     }
--- a/src/main/java/beamspread/node/mgmt/MgmtServer.java
+++ b/src/main/java/beamspread/node/mgmt/MgmtServer.java
@@ -18,30 +18,31 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Listens for operators' calls. Guards against callers who say nothing, or half a call, and stay:
- * they get so long, few are kept, and the one who has been there longest gives way to the next. It
- * could do harm to a caller that takes seconds to send a call of some bytes.
+ * Listens for management calls. Callers that send nothing or an incomplete call and keep their
+ * connection open cannot block others: each call has a time limit, the number of connections is
+ * bounded, and a new connection evicts the oldest. A caller that takes seconds to send a short call
+ * may be disconnected.
  */
 public final class MgmtServer {
-  /** Connections at a time, and descriptors that a node keeps for them. */
-  public static final int CONNECTIONS = 16;
+  /** Maximum open connections, for which a node reserves descriptors. */
+  public static final int MAX_CONNECTIONS = 16;
 
-  /** How long a caller may take over a call. */
-  public static final long PATIENCE_MILLIS = 3000;
+  /** Time after which a connection is closed, in milliseconds. */
+  public static final long CALL_TIMEOUT_MILLIS = 3000;
 
-  private static final int LONGEST_BODY = 4096;
+  private static final int MAX_BODY_BYTES = 4096;
 
-  private final long patienceMillis;
+  private final long callTimeoutMillis;
   private final Channel listener;
-  private final LinkedHashSet<Channel> open = new LinkedHashSet<>();
+  private final LinkedHashSet<Channel> openChannels = new LinkedHashSet<>();
 
   /**
-   * Listens.
+   * Starts to listen.
    *
-   * @param sockets what listening sockets are made of
-   * @param token what callers must name to change anything, null for nothing
-   * @param patienceMillis how long a caller may take over a call
-   * @throws IOException if the address can't be listened on
+   * @param sockets the bootstrap for the listening socket
+   * @param token the bearer token that calls which change something must have; null for none
+   * @param callTimeoutMillis the time after which a connection is closed, in milliseconds
+   * @throws IOException if the address can't be bound
    */
   public MgmtServer(
       EventLoop loop,
@@ -49,52 +50,52 @@
       ByteBufAllocator allocator,
       SocketAddress address,
       byte[] token,
-      long patienceMillis,
+      long callTimeoutMillis,
       MgmtCalls calls)
       throws IOException, InterruptedException {
-    this.patienceMillis = patienceMillis;
+    this.callTimeoutMillis = callTimeoutMillis;
     listener =
         Listener.open(
             sockets.group(loop).childOption(ChannelOption.ALLOCATOR, allocator),
             address,
-            "cannot listen on mgmt " + address,
+            "cannot listen on the management address " + address,
             channel -> {
               accept(channel);
               channel
                   .pipeline()
                   .addLast(
-                      new HttpServerCodec(1024, 4096, LONGEST_BODY),
-                      new Whole(),
+                      new HttpServerCodec(1024, 4096, MAX_BODY_BYTES),
+                      new CallAggregator(),
                       new MgmtHandler(calls, token));
             });
   }
 
   private void accept(Channel channel) {
-    if (open.size() >= CONNECTIONS) {
-      Iterator<Channel> oldest = open.iterator();
-      Channel gives = oldest.next();
+    if (openChannels.size() >= MAX_CONNECTIONS) {
+      Iterator<Channel> oldest = openChannels.iterator();
+      Channel evicted = oldest.next();
       oldest.remove();
-      gives.close();
+      evicted.close();
     }
-    open.add(channel);
-    channel.closeFuture().addListener(closed -> open.remove(channel));
-    channel.eventLoop().schedule(() -> channel.close(), patienceMillis, TimeUnit.MILLISECONDS);
+    openChannels.add(channel);
+    channel.closeFuture().addListener(closed -> openChannels.remove(channel));
+    channel.eventLoop().schedule(() -> channel.close(), callTimeoutMillis, TimeUnit.MILLISECONDS);
   }
 
-  /** Makes a call whole; one that is too long is told so by the handler behind. */
-  private static final class Whole extends HttpObjectAggregator {
-    Whole() {
-      super(LONGEST_BODY);
+  /** Aggregates the parts of a call; the next handler answers one that is too long. */
+  private static final class CallAggregator extends HttpObjectAggregator {
+    CallAggregator() {
+      super(MAX_BODY_BYTES);
     }
 
     @Override
     protected void handleOversizedMessage(ChannelHandlerContext ctx, HttpMessage oversized) {
       ctx.fireExceptionCaught(
-          new TooLongFrameException("a body of over " + LONGEST_BODY + " bytes"));
+          new TooLongFrameException("a body of over " + MAX_BODY_BYTES + " bytes"));
     }
   }
 
-  /** Where it listens. */
+  /** Returns the address that this server listens on. */
   public SocketAddress address() {
     return listener.localAddress();
   }
--- a/src/main/java/beamspread/node/mgmt/package-info.java
+++ b/src/main/java/beamspread/node/mgmt/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Where operators call a node: HTTP/1.1 on a second address, one call a connection, on the node's
- * event loop. What a call does is {@link beamspread.node.mgmt.MgmtCalls}; sockets are here.
+ * The management interface of a node: HTTP/1.1 on a separate address, one call per connection, on
+ * the node's event loop. This package handles the connections; the calls are implemented by {@link
+ * beamspread.node.mgmt.MgmtCalls}.
  */
 package beamspread.node.mgmt;
--- a/src/main/java/beamspread/node/relay/ValueRelays.java
+++ b/src/main/java/beamspread/node/relay/ValueRelays.java
@@ -12,20 +12,26 @@
 import io.netty.buffer.ByteBufUtil;
 import java.util.function.LongSupplier;
 
-/** Carries out what {@link Relays} decides. All of it runs on the event loop. */
+/** Carries out the decisions of {@link Relays}. Runs on the event loop only. */
 public final class ValueRelays {
-  /** Who is told that a request is over. */
-  public interface Ended {
-    /** Told once; whether the client has taken the whole value. */
-    void over(boolean whole);
+  /** Is notified of the end of a relayed value. */
+  public interface CompletionListener {
+    /**
+     * Called once.
+     *
+     * @param complete whether the client has received the complete value
+     */
+    void completed(boolean complete);
   }
 
   private final Relays relays;
   private final LongSupplier clock;
-  private int passing;
+  private int activeCount;
 
   /**
-   * @param clock nanoseconds that leave out the time in which the event loop did not run
+   * Creates relays without values.
+   *
+   * @param clock a clock in nanoseconds that excludes stalls of the event loop
    */
   public ValueRelays(RelaySettings settings, LongSupplier clock) {
     this.relays = new Relays(settings);
@@ -33,56 +39,63 @@
   }
 
   /**
-   * Passes a value on, from behind its head.
+   * Begins to relay a value whose first line has been received.
    *
-   * @return where its parts go; to nowhere if the client has gone, of which the end is told at once
+   * @return the sink for the parts of the value; if the client has disconnected, it discards them
+   *     and the listener is called at once
    */
-  public ValueSink begin(MetaReply head, ValueSource source, ClientHandler.Slot slot, Ended ended) {
-    Passage passage = new Passage(source, slot, ended);
-    passage.relay = relays.begin(clock.getAsLong(), head.following(), passage);
-    passing++;
-    ByteBuf line = slot.alloc().buffer(head.id().length() + 24);
+  public ValueSink begin(
+      MetaReply head,
+      ValueSource source,
+      ClientHandler.AnswerSlot slot,
+      CompletionListener listener) {
+    ValueTransfer transfer = new ValueTransfer(source, slot, listener);
+    transfer.relay = relays.begin(clock.getAsLong(), head.following(), transfer);
+    activeCount++;
+    ByteBuf line = slot.allocator().buffer(head.id().length() + 24);
     ByteBufUtil.writeAscii(line, "VA " + head.following() + " O" + head.id());
-    if (!slot.begin(line.writeShort(0x0D0A), passage)) {
-      passage.clientGone();
+    if (!slot.beginStream(line.writeShort(0x0D0A), transfer)) {
+      transfer.clientGone();
     }
-    return passage;
+    return transfer;
   }
 
-  /** Requests whose values are on their way. */
-  public int passing() {
-    return passing;
+  /** Returns the number of values that are being relayed. */
+  public int activeCount() {
+    return activeCount;
   }
 
-  /** What has become of values, for operators. */
-  public Relays figures() {
+  /** Returns the relays with their counts. */
+  public Relays relays() {
     return relays;
   }
 
-  /** Ends what stands still. */
-  public void sweep() {
+  /** Closes relays without progress. */
+  public void closeExpired() {
     relays.tick(clock.getAsLong());
   }
 
-  private final class Passage implements ValueSink, ClientHandler.Giver, RelayActions {
+  /** One value that is being relayed. */
+  private final class ValueTransfer
+      implements ValueSink, ClientHandler.StreamListener, RelayActions {
     private final ValueSource source;
-    private final ClientHandler.Slot slot;
-    private final Ended ended;
+    private final ClientHandler.AnswerSlot slot;
+    private final CompletionListener listener;
     private Relay relay;
 
-    Passage(ValueSource source, ClientHandler.Slot slot, Ended ended) {
+    ValueTransfer(ValueSource source, ClientHandler.AnswerSlot slot, CompletionListener listener) {
       this.source = source;
       this.slot = slot;
-      this.ended = ended;
+      this.listener = listener;
     }
 
-    // What the cache server does.
+    // Events of the cache server's connection.
 
     @Override
     public void part(ByteBuf bytes) {
       int size = bytes.readableBytes();
       if (size > 0 && relay.came(clock.getAsLong(), size)) {
-        slot.part(bytes);
+        slot.streamPart(bytes);
       } else {
         bytes.release();
       }
@@ -98,15 +111,15 @@
       relay.broken();
     }
 
-    // What the client does.
+    // Events of the client's connection.
 
     @Override
-    public void turn() {
+    public void slotReached() {
       relay.turn(clock.getAsLong());
     }
 
     @Override
-    public void taken(int bytes) {
+    public void bytesWritten(int bytes) {
       relay.taken(clock.getAsLong(), bytes);
     }
 
@@ -115,7 +128,7 @@
       relay.clientGone(clock.getAsLong());
     }
 
-    // What is decided.
+    // Actions that the relay decides.
 
     @Override
     public void reading(boolean on) {
@@ -134,15 +147,15 @@
 
     @Override
     public void cut() {
-      slot.cut("SERVER_ERROR failed");
+      slot.abortStream("SERVER_ERROR failed");
     }
 
     @Override
     public void over(boolean whole) {
-      passing--;
-      ended.over(whole);
+      activeCount--;
+      listener.completed(whole);
       if (whole) {
-        slot.finish();
+        slot.finishStream();
       }
     }
   }
--- a/src/main/java/beamspread/node/relay/package-info.java
+++ b/src/main/java/beamspread/node/relay/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Large values on their way: parts from a cache server's connection to a client's. What is read,
- * dropped and ended is decided in {@code beamspread.relay}.
+ * Relays large values part by part from the connection of a cache server to that of a client.
+ * {@code beamspread.relay} decides when to read, drop data and close connections.
  */
 package beamspread.node.relay;
--- a/src/main/java/beamspread/node/variants/TablePull.java
+++ b/src/main/java/beamspread/node/variants/TablePuller.java
@@ -33,55 +33,56 @@
 import java.util.function.Consumer;
 
 /**
- * Asks the agent for the table again and again, and tells it what is left alone here. The table's
- * time counts from when it was asked for, so that an answer which comes late holds for no longer.
+ * Periodically requests the table from the agent, and sends it the families that are split here.
+ * The validity of a table counts from the request, so that a delayed answer is not valid for
+ * longer.
  */
-public final class TablePull {
-  /** Room for a table as a JSON text, whose line ends take two bytes. */
-  private static final int LONGEST_ANSWER = 2 * VariantTable.LONGEST;
+public final class TablePuller {
+  /** Maximum size of an answer: a table as a JSON string, in which line ends take two bytes. */
+  private static final int MAX_ANSWER_BYTES = 2 * VariantTable.LONGEST;
 
-  /** Clocks of two machines may run apart by this part. */
-  private static final int CLOCK_PART = 100;
+  /** The clocks of two machines may drift apart by one part in this many. */
+  private static final int CLOCK_DRIFT_DIVISOR = 100;
 
   private final EventLoop loop;
   private final Bootstrap bootstrap;
-  private final VariantPart part;
+  private final VariantConfig config;
   private final VariantSettings settings;
   private final String node;
   private final VariantKeys keys;
   private final Consumer<String> log;
-  private String trouble;
+  private String lastProblem;
 
   /**
-   * A puller.
+   * Creates a puller; {@link #start} starts it.
    *
-   * @param node by whose name the agent knows it
-   * @param log is told of new tables, and of each trouble once
+   * @param node the name by which the agent knows this node
+   * @param log receives a line for each new table and each new problem
    */
-  public TablePull(
+  public TablePuller(
       EventLoop loop,
       Bootstrap bootstrap,
-      VariantPart part,
+      VariantConfig config,
       String node,
       VariantKeys keys,
       Consumer<String> log) {
     this.loop = loop;
     this.bootstrap = bootstrap;
-    this.part = part;
-    this.settings = part.file().settings();
+    this.config = config;
+    this.settings = config.file().settings();
     this.node = node;
     this.keys = keys;
     this.log = log;
   }
 
-  /** Begins to ask. */
+  /** Starts the periodic requests. */
   public void start() {
     loop.scheduleWithFixedDelay(this::pull, 0, settings.pullNanos(), TimeUnit.NANOSECONDS);
   }
 
   private void pull() {
-    Answer answer = new Answer(System.nanoTime());
-    ChannelFuture connecting =
+    AnswerHandler answer = new AnswerHandler(System.nanoTime());
+    ChannelFuture connectFuture =
         bootstrap
             .clone()
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) (settings.pullNanos() / 1_000_000))
@@ -93,32 +94,32 @@
                         .pipeline()
                         .addLast(
                             new HttpClientCodec(),
-                            new HttpObjectAggregator(LONGEST_ANSWER),
+                            new HttpObjectAggregator(MAX_ANSWER_BYTES),
                             answer);
                   }
                 })
-            .connect(part.agent());
-    connecting.addListener(
+            .connect(config.agentAddress());
+    connectFuture.addListener(
         done -> {
           if (done.isSuccess()) {
-            ask(connecting.channel());
+            sendRequest(connectFuture.channel());
           } else {
-            loop.execute(() -> troubled("the agent cannot be reached"));
+            loop.execute(() -> reportProblem("cannot connect to the agent"));
           }
         });
   }
 
-  private void ask(Channel channel) {
-    VariantVersion known = keys.held().highest();
-    Set<String> split = keys.split(System.nanoTime());
+  private void sendRequest(Channel channel) {
+    VariantVersion knownVersion = keys.held().highest();
+    Set<String> splitFamilies = keys.split(System.nanoTime());
     String body =
         Json.object(
             json -> {
               json.writeStringField("node", node);
-              json.writeNumberField("token", known.token());
-              json.writeNumberField("number", known.number());
+              json.writeNumberField("token", knownVersion.token());
+              json.writeNumberField("number", knownVersion.number());
               json.writeArrayFieldStart("split");
-              for (String family : split) {
+              for (String family : splitFamilies) {
                 json.writeString(family);
               }
               json.writeEndArray();
@@ -131,36 +132,37 @@
             "/v1/variants/" + settings.fleet() + "/pull",
             Unpooled.wrappedBuffer(bytes));
     var headers = request.headers();
-    headers.set(HttpHeaderNames.HOST, host());
+    headers.set(HttpHeaderNames.HOST, hostHeader());
     headers.set(HttpHeaderNames.CONTENT_TYPE, "application/json");
     headers.set(HttpHeaderNames.CONTENT_LENGTH, bytes.length);
     headers.set(HttpHeaderNames.CONNECTION, "close");
-    if (part.token() != null) {
-      headers.set(HttpHeaderNames.AUTHORIZATION, "Bearer " + part.token());
+    if (config.token() != null) {
+      headers.set(HttpHeaderNames.AUTHORIZATION, "Bearer " + config.token());
     }
     channel.writeAndFlush(request);
-    // An answer that takes longer is of no use: the next call is on its way.
+    // A later answer is of no use, since the next request has been sent by then.
     loop.schedule(() -> channel.close(), settings.pullNanos(), TimeUnit.NANOSECONDS);
   }
 
-  private String host() {
-    return part.agent() instanceof InetSocketAddress inet
+  private String hostHeader() {
+    return config.agentAddress() instanceof InetSocketAddress inet
         ? inet.getAddress().getHostAddress() + ":" + inet.getPort()
         : "localhost";
   }
 
-  private void troubled(String what) {
-    if (!what.equals(trouble)) {
-      trouble = what;
-      log.accept("variant keys: " + what);
+  private void reportProblem(String problem) {
+    if (!problem.equals(lastProblem)) {
+      lastProblem = problem;
+      log.accept("variant keys: " + problem);
     }
   }
 
-  private final class Answer extends SimpleChannelInboundHandler<FullHttpResponse> {
-    private final long askedAt;
+  /** Handles the answer to one request. */
+  private final class AnswerHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
+    private final long requestedNanos;
 
-    Answer(long askedAt) {
-      this.askedAt = askedAt;
+    AnswerHandler(long requestedNanos) {
+      this.requestedNanos = requestedNanos;
     }
 
     @Override
@@ -168,40 +170,40 @@
       ctx.close();
       String text = response.content().toString(StandardCharsets.UTF_8);
       if (!response.status().equals(HttpResponseStatus.OK)) {
-        troubled("the agent answers " + response.status().code());
+        reportProblem("the agent answered with status " + response.status().code());
         return;
       }
       try {
-        take(Message.parse(text));
+        apply(Message.parse(text));
       } catch (WireException | VariantException e) {
-        troubled("a table is refused: " + e.getMessage());
+        reportProblem("rejected a table: " + e.getMessage());
       }
     }
 
-    private void take(Message told) throws WireException, VariantException {
-      long valid = (long) (told.requiredNumber("valid_ms") * 1e6);
-      long holdsUntil = askedAt + valid - valid / CLOCK_PART;
+    private void apply(Message message) throws WireException, VariantException {
+      long validNanos = (long) (message.requiredNumber("valid_ms") * 1e6);
+      long validUntilNanos = requestedNanos + validNanos - validNanos / CLOCK_DRIFT_DIVISOR;
       long now = System.nanoTime();
-      HeldTable.Taken taken;
-      if (told.has("text")) {
+      HeldTable.Taken result;
+      if (message.has("text")) {
         VariantTable table =
-            VariantTable.parse(told.requiredText("text"), told.requiredText("digest"));
-        taken = keys.take(now, table, holdsUntil);
+            VariantTable.parse(message.requiredText("text"), message.requiredText("digest"));
+        result = keys.take(now, table, validUntilNanos);
       } else {
         VariantVersion version =
             new VariantVersion(
-                (long) told.requiredNumber("token"), (long) told.requiredNumber("number"));
-        taken = keys.renew(now, version, holdsUntil);
+                (long) message.requiredNumber("token"), (long) message.requiredNumber("number"));
+        result = keys.renew(now, version, validUntilNanos);
       }
-      if (taken == HeldTable.Taken.NEW) {
-        trouble = null;
+      if (result == HeldTable.Taken.NEW) {
+        lastProblem = null;
         log.accept("variant keys: table " + keys.held().highest() + " is in force");
       }
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      troubled("the agent: " + cause.getMessage());
+      reportProblem("the call to the agent failed: " + cause.getMessage());
       ctx.close();
     }
   }
--- a/src/main/java/beamspread/node/variants/VariantFileReader.java
+++ b/src/main/java/beamspread/node/variants/VariantFileReader.java
@@ -15,7 +15,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Reads {@code variants.json}: whole, or not at all. */
+/** Parses {@code variants.json}; a file with any error is rejected. */
 public final class VariantFileReader {
   private static final Set<String> FILE_KEYS =
       Set.of("fleet", "hold_s", "rest_s", "slots", "slot_s", "rules");
@@ -35,109 +35,113 @@
   private VariantFileReader() {}
 
   /**
-   * Reads a file's text.
+   * Parses the text of the file.
    *
-   * @throws WireException that names the key and what is wrong with it
+   * @throws WireException if the file has an error; the message names the key and the error
    */
   public static VariantFile read(String text) throws WireException {
     Message file = Message.parse(text);
-    only(file, FILE_KEYS, "");
-    VariantSettings settings = settings(file);
+    rejectUnknownKeys(file, FILE_KEYS, "");
+    VariantSettings settings = readSettings(file);
     List<VariantRule> rules = new ArrayList<>();
-    Map<String, List<Set<String>>> rows = new TreeMap<>();
+    Map<String, List<Set<String>>> equivalentByPrefix = new TreeMap<>();
     List<Message> objects = file.requiredObjects("rules");
     for (int i = 0; i < objects.size(); i++) {
       Message rule = objects.get(i);
-      String place = "rules[" + i + "].";
+      String path = "rules[" + i + "].";
       try {
-        rules.add(rule(rule, place, settings));
+        rules.add(readRule(rule, path, settings));
       } catch (IllegalArgumentException e) {
-        throw new WireException(place + e.getMessage());
+        throw new WireException(path + e.getMessage());
       }
-      List<Set<String>> same = same(rule, place);
-      if (!same.isEmpty()) {
-        rows.put(rule.requiredText("prefix"), same);
+      List<Set<String>> equivalent = readEquivalentClasses(rule, path);
+      if (!equivalent.isEmpty()) {
+        equivalentByPrefix.put(rule.requiredText("prefix"), equivalent);
       }
     }
     try {
-      VariantRules all = new VariantRules(rules);
-      VariantTable.of(settings.fleet(), VariantVersion.NONE, rows).check(all);
-      return new VariantFile(settings, all, rows);
+      VariantRules allRules = new VariantRules(rules);
+      VariantTable.of(settings.fleet(), VariantVersion.NONE, equivalentByPrefix).check(allRules);
+      return new VariantFile(settings, allRules, equivalentByPrefix);
     } catch (VariantException e) {
       throw new WireException(e.getMessage());
     }
   }
 
-  private static void only(Message of, Set<String> keys, String place) throws WireException {
-    for (String name : of.names()) {
+  private static void rejectUnknownKeys(Message message, Set<String> keys, String path)
+      throws WireException {
+    for (String name : message.names()) {
       if (!keys.contains(name)) {
-        throw new WireException(place + name + ": unknown key");
+        throw new WireException(path + name + ": unknown key");
       }
     }
   }
 
-  private static VariantSettings settings(Message file) throws WireException {
+  private static VariantSettings readSettings(Message file) throws WireException {
     try {
-      VariantSettings usual = VariantSettings.usual(file.requiredText("fleet"));
-      long hold = nanos(file, "hold_s", usual.holdNanos());
+      VariantSettings defaults = VariantSettings.usual(file.requiredText("fleet"));
+      long holdNanos = readNanos(file, "hold_s", defaults.holdNanos());
       return new VariantSettings(
-          usual.fleet(),
-          hold,
-          nanos(file, "rest_s", Math.max(hold, usual.restNanos())),
-          (int) number(file, "slots", usual.slots()),
-          nanos(file, "slot_s", usual.slotNanos()));
+          defaults.fleet(),
+          holdNanos,
+          readNanos(file, "rest_s", Math.max(holdNanos, defaults.restNanos())),
+          (int) readNumber(file, "slots", defaults.slots()),
+          readNanos(file, "slot_s", defaults.slotNanos()));
     } catch (IllegalArgumentException e) {
       throw new WireException(e.getMessage());
     }
   }
 
-  private static long nanos(Message of, String name, long absent) throws WireException {
-    return (long) (number(of, name, absent / 1e9) * 1e9);
+  private static long readNanos(Message message, String name, long defaultNanos)
+      throws WireException {
+    return (long) (readNumber(message, name, defaultNanos / 1e9) * 1e9);
   }
 
-  private static double number(Message of, String name, double absent) throws WireException {
-    return of.has(name) ? of.requiredNumber(name) : absent;
+  private static double readNumber(Message message, String name, double defaultValue)
+      throws WireException {
+    return message.has(name) ? message.requiredNumber(name) : defaultValue;
   }
 
-  private static VariantRule rule(Message rule, String place, VariantSettings settings)
+  private static VariantRule readRule(Message rule, String path, VariantSettings settings)
       throws WireException {
-    only(rule, RULE_KEYS, place);
+    rejectUnknownKeys(rule, RULE_KEYS, path);
     String separator = rule.requiredText("separator");
     if (separator.length() != 1) {
-      throw new WireException(place + "separator must be one letter");
+      throw new WireException(path + "separator must be one character");
     }
     double maxAge = rule.requiredNumber("max_age_s");
     if (maxAge * 1e9 < settings.splitNanos()) {
       throw new WireException(
-          place
-              + "max_age_s: answers may be as old as "
+          path
+              + "max_age_s: must be at least "
               + settings.splitNanos() / 1e9
-              + " s, hold_s and two thirds of it");
+              + " s (hold_s plus two thirds of it), the age that answers can reach");
     }
     return new VariantRule(
         rule.requiredText("prefix"),
         separator.charAt(0),
-        (int) number(rule, "field", -1),
+        (int) readNumber(rule, "field", -1),
         rule.text("name", null),
         rule.texts("classes"),
         Set.copyOf(rule.texts("requests")),
         !rule.flag("off"));
   }
 
-  /** The sets of classes that count as the same, each as one text with pluses. */
-  private static List<Set<String>> same(Message rule, String place) throws WireException {
-    List<Set<String>> same = new ArrayList<>();
-    List<String> all = new ArrayList<>();
+  /** Returns the sets of equivalent classes; in the file each is one string, joined by pluses. */
+  private static List<Set<String>> readEquivalentClasses(Message rule, String path)
+      throws WireException {
+    List<Set<String>> equivalent = new ArrayList<>();
+    List<String> seen = new ArrayList<>();
     for (String set : rule.texts("same")) {
       List<String> classes = List.of(set.split("\\+", -1));
-      for (String one : classes) {
-        if (all.contains(one)) {
-          throw new WireException(place + "same: '" + one + "' stands twice");
+      for (String name : classes) {
+        if (seen.contains(name)) {
+          throw new WireException(path + "same: '" + name + "' is listed twice");
         }
-        all.add(one);
+        seen.add(name);
       }
-      same.add(Set.copyOf(classes));
+      equivalent.add(Set.copyOf(classes));
     }
-    return same;
+    return equivalent;
   }
 }
--- a/src/main/java/beamspread/node/variants/VariantStatus.java
+++ b/src/main/java/beamspread/node/variants/VariantStatus.java
@@ -5,11 +5,15 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
 
-/** What a node tells of variant keys, as a field of its status. */
+/** Writes the state of variant keys as a field of the node's status. */
 public final class VariantStatus {
   private VariantStatus() {}
 
-  /** Writes the field {@code variants}; nothing where the node takes no part in them. */
+  /**
+   * Writes the field {@code variants}.
+   *
+   * @param keys the variant keys; null if the node does not use them, and nothing is written
+   */
   public static void write(JsonGenerator json, VariantKeys keys) throws IOException {
     if (keys == null) {
       return;
--- a/src/main/java/beamspread/node/variants/package-info.java
+++ b/src/main/java/beamspread/node/variants/package-info.java
@@ -1,2 +1,2 @@
-/** Variant keys at a node: the operators' file, calls for the table, and requests' keys. */
+/** Variant keys in a node: the configuration file, fetching the table, and rewriting keys. */
 package beamspread.node.variants;
--- a/src/test/java/beamspread/node/ClosesTest.java
+++ b/src/test/java/beamspread/node/ConnectionCloseTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.extension.ExtendWith;
 
-/** A node whose event loop stands still while clients ask: nobody who asked is cut off. */
+/** Requests that clients send while the node's event loop is stalled must not be lost. */
 @ExtendWith(LeakCheck.class)
-class ClosesTest {
+class ConnectionCloseTest {
   private static final long SHORT = 100_000_000L;
   private static final long LONG = 60_000_000_000L;
 
@@ -28,7 +28,8 @@
     }
   }
 
-  private static void asked(List<Peers.Client> clients, int count, Peers.Rig rig) throws Exception {
+  private static void connectAndRead(List<Peers.Client> clients, int count, Peers.Rig rig)
+      throws Exception {
     for (int i = 0; i < count; i++) {
       clients.add(rig.client());
       assertEquals("VA 5 Oa" + i, clients.get(i).read("a" + i).line());
@@ -37,11 +38,11 @@
   }
 
   @Test
-  void idleConnectionsWhoseTimeRanOutMeanwhileAreAnswered() throws Exception {
+  void answersRequestsOnConnectionsThatTimedOutDuringAStall() throws Exception {
     List<Peers.Client> clients = new ArrayList<>();
     try (Peers.Server server = new Peers.Server(Peers::good);
         Peers.Rig rig = new Peers.Rig(limits(40, LONG, SHORT), server)) {
-      asked(clients, 20, rig);
+      connectAndRead(clients, 20, rig);
       try (Hold hold = new Hold(rig.node, 4 * SHORT)) {
         for (int i = 0; i < 20; i++) {
           clients.get(i).read("b" + i);
@@ -57,12 +58,12 @@
   }
 
   @Test
-  void whoHasAskedDoesNotGiveWayAndWhoFindsNoRoomIsTold() throws Exception {
+  void keepsConnectionsWithRequestsAndRejectsNewOnesWithError() throws Exception {
     List<Peers.Client> kept = new ArrayList<>();
     List<Peers.Client> fresh = new ArrayList<>();
     try (Peers.Server server = new Peers.Server(Peers::good);
         Peers.Rig rig = new Peers.Rig(limits(10, LONG, LONG), server)) {
-      asked(kept, 10, rig);
+      connectAndRead(kept, 10, rig);
       try (Hold hold = new Hold(rig.node, SHORT)) {
         for (int i = 0; i < 10; i++) {
           kept.get(i).read("b" + i);
@@ -81,7 +82,7 @@
   }
 
   @Test
-  void freshConnectionsThatHaveAskedDoNotGiveWay() throws Exception {
+  void keepsNewConnectionsThatHaveSentRequests() throws Exception {
     List<Peers.Client> fresh = new ArrayList<>();
     try (Peers.Server server = new Peers.Server(Peers::good);
         Peers.Rig rig = new Peers.Rig(limits(5, LONG, LONG), server)) {
@@ -106,13 +107,13 @@
   }
 
   @Test
-  void aCommandWhoseEndLiesInTheSocketIsNoHalfCommand() throws Exception {
+  void readsRestOfCommandBeforeTimingItOut() throws Exception {
     try (Peers.Server server = new Peers.Server(Peers::good);
         Peers.Rig rig = new Peers.Rig(limits(9, 2 * SHORT, LONG), server);
         Peers.Client client = rig.client()) {
       client.send("mg key-1 v O1 Pc=re");
-      Peers.await("it has connected", () -> rig.node.clients() == 1);
-      // Its first half is read by then; if not, there is nothing to guard against.
+      Peers.await("the client has connected", () -> rig.node.clients() == 1);
+      // Normally the first half is read by then; otherwise the case under test does not arise.
       Thread.sleep(50);
       try (Hold hold = new Hold(rig.node, 5 * SHORT)) {
         client.send("ad,d=5000\r\n");
@@ -123,14 +124,14 @@
   }
 
   @Test
-  void aDrainAnswersWhatWasSentBeforeItCloses() throws Exception {
+  void drainAnswersRequestsSentBeforeListenerCloses() throws Exception {
     List<Peers.Client> clients = new ArrayList<>();
     try (Peers.Server server = new Peers.Server(Peers::good);
         Peers.Rig rig = new Peers.Rig(limits(40, LONG, LONG), server)) {
-      asked(clients, 5, rig);
+      connectAndRead(clients, 5, rig);
       Thread drain = new Thread(rig.node::drain);
       drain.start();
-      // Its listener closes half a second after it has begun: here, while the loop is held.
+      // The listener closes half a second after the drain begins, which is during the stall.
       Peers.await("the drain", () -> drain.getState() == Thread.State.TIMED_WAITING);
       rig.node.loop().submit(() -> {}).sync();
       try (Hold hold = new Hold(rig.node, 10 * SHORT)) {
@@ -153,20 +154,20 @@
   }
 
   @Test
-  void aDrainAnswersWhatWasSentBehindAnOpenRequest() throws Exception {
+  void drainAnswersRequestsSentBehindAnOpenOne() throws Exception {
     try (Peers.Server server = new Peers.Server(line -> null);
         Peers.Rig rig = new Peers.Rig(limits(9, LONG, LONG), server);
         Peers.Client client = rig.client();
         Peers.Client late = rig.client()) {
       client.read("1");
       late.read("2");
-      Peers.await("both requests go out", () -> server.lines.size() == 2);
+      Peers.await("both requests are sent", () -> server.lines.size() == 2);
       Thread drain = new Thread(rig.node::drain);
       drain.start();
       Peers.await("the drain has begun", () -> rig.node.drainsClients());
       client.send("mg key-3 v O3 Pc=read,d=400\r\n");
       late.send("mg key-4 v O4 Pc=read,d=60000\r\n");
-      // First: the answers let the next request out at once.
+      // Set before the answers, which let the node send the next request at once.
       server.script = Peers::good;
       for (String line : List.copyOf(server.lines)) {
         server.send(line, Peers.good(line));
@@ -174,7 +175,7 @@
       assertEquals("VA 5 O1", client.line());
       assertEquals("hello", client.line());
       assertEquals("VA 5 O3", client.line());
-      // What this node may not live to answer is turned away, which is harmless.
+      // A request that is due after the process ends is refused, which is safe.
       assertEquals("VA 5 O2", late.line());
       assertEquals("hello", late.line());
       assertEquals("SERVER_ERROR busy", late.line());
@@ -184,12 +185,12 @@
   }
 
   @Test
-  void anAnswerThatCameBeforeItsTimeOutWasNoticedCounts() throws Exception {
+  void usesAnswerThatArrivedBeforeTimeoutWasHandled() throws Exception {
     try (Peers.Server server = new Peers.Server(line -> null);
         Peers.Rig rig = new Peers.Rig(limits(9, LONG, LONG), server);
         Peers.Client client = rig.client()) {
       client.send("mg key-1 v O1 Pc=read,d=300\r\n");
-      Peers.await("the request goes out", () -> server.lines.size() == 1);
+      Peers.await("the request is sent", () -> server.lines.size() == 1);
       try (Hold hold = new Hold(rig.node, 5 * SHORT)) {
         server.send(server.lines.get(0), Peers.good(server.lines.get(0)));
         hold.release();
@@ -199,12 +200,12 @@
   }
 
   @Test
-  void aReplyWhoseEndLiesInTheSocketIsNotStuck() throws Exception {
+  void readsRestOfReplyBeforeTreatingItAsStalled() throws Exception {
     try (Peers.Server server = new Peers.Server(line -> null);
         Peers.Rig rig = new Peers.Rig(limits(9, LONG, LONG), server);
         Peers.Client client = rig.client()) {
       client.read("1");
-      Peers.await("the request goes out", () -> server.lines.size() == 1);
+      Peers.await("the request is sent", () -> server.lines.size() == 1);
       String reply = Peers.good(server.lines.get(0));
       server.send(server.lines.get(0), reply.substring(0, 12));
       Thread.sleep(50);
@@ -218,7 +219,7 @@
   }
 
   @Test
-  void thePausesAreOnTheStatus() throws Exception {
+  void countsStallsOfEventLoop() throws Exception {
     try (Peers.Rig rig = new Peers.Rig(limits(9, LONG, LONG))) {
       new Hold(rig.node, 2 * SHORT).close();
       Peers.await("a pause", () -> rig.node.watch().pauses() > 0);
