--- a/src/test/java/beamspread/node/DiscoveryClientTest.java
+++ b/src/test/java/beamspread/node/DiscoveryClientTest.java
@@ -20,29 +20,29 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A node that can open no socket for a while goes on to follow the list. */
+/** Watches of the list when sockets can't be opened, and watches that end. */
 class DiscoveryClientTest {
-  private static final int FAILURES = 3;
+  private static final int SOCKET_FAILURES = 3;
 
   private final MultiThreadIoEventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final EventLoop loop = group.next();
-  private final AtomicInteger failures = new AtomicInteger(FAILURES);
-  private final List<ListEvidence> seen = new CopyOnWriteArrayList<>();
-  private final List<String> told = new CopyOnWriteArrayList<>();
+  private final AtomicInteger failuresLeft = new AtomicInteger(SOCKET_FAILURES);
+  private final List<ListEvidence> observedEvidence = new CopyOnWriteArrayList<>();
+  private final List<String> events = new CopyOnWriteArrayList<>();
 
   @AfterEach
   void stop() throws Exception {
     group.shutdownGracefully().sync();
   }
 
-  private DiscoveryClient client(Peers.Server discovery, boolean asked) {
+  private DiscoveryClient client(Peers.Server discovery, boolean onDemand) {
     Bootstrap bootstrap =
         new Bootstrap()
             .group(loop)
             .channelFactory(
                 () -> {
-                  if (failures.getAndDecrement() > 0) {
+                  if (failuresLeft.getAndDecrement() > 0) {
                     throw new ChannelException("too many open files");
                   }
                   return new NioSocketChannel();
@@ -50,81 +50,85 @@
     DiscoveryClient.Listener listener =
         new DiscoveryClient.Listener() {
           @Override
-          public void list(MemberList list) {
-            told.add("list");
+          public void listReceived(MemberList list) {
+            events.add("list");
           }
 
           @Override
-          public void listEvidence(long at, ListEvidence evidence) {
-            seen.add(evidence);
+          public void evidenceObserved(long at, ListEvidence evidence) {
+            observedEvidence.add(evidence);
           }
 
           @Override
-          public void listTrouble(CallFailure failure) {
-            told.add(
+          public void automaticCallFailed(CallFailure failure) {
+            events.add(
                 (loop.inEventLoop() ? "" : "on another thread: ") + "trouble " + failure.kind());
           }
 
           @Override
-          public void listFailed(CallFailure failure) {
-            told.add(
+          public void requestedCallFailed(CallFailure failure) {
+            events.add(
                 (loop.inEventLoop() ? "" : "on another thread: ") + "failed " + failure.kind());
           }
         };
-    return new DiscoveryClient(loop, bootstrap, discovery.address(), asked, 0, now -> 0, listener);
+    return new DiscoveryClient(
+        loop, bootstrap, discovery.address(), onDemand, 0, now -> 0, listener);
   }
 
-  private static boolean followed(Peers.Server discovery) {
+  private static boolean hasWatch(Peers.Server discovery) {
     return discovery.lines.stream().anyMatch(line -> line.startsWith("GET"));
   }
 
   @Test
-  void aPushedListIsFollowedOnceASocketCanBeOpened() throws Exception {
+  void retriesPushedWatchUntilSocketCanBeOpened() throws Exception {
     try (Peers.Server discovery =
         new Peers.Server(line -> line.startsWith("GET ") ? Peers.WATCH : null)) {
       DiscoveryClient client = client(discovery, false);
-      loop.execute(client::follow);
-      Peers.await("a watch", () -> followed(discovery));
-      assertThat(told).containsOnly("trouble NOT_MADE").hasSize(FAILURES);
+      loop.execute(client::startWatch);
+      Peers.await("a watch", () -> hasWatch(discovery));
+      assertThat(events).containsOnly("trouble NOT_MADE").hasSize(SOCKET_FAILURES);
       loop.submit(client::stop).sync();
     }
   }
 
   @Test
-  void eachCallThatWasAskedForIsToldAsFailed() throws Exception {
+  void reportsEachFailedCallThatWasRequested() throws Exception {
     try (Peers.Server discovery =
         new Peers.Server(line -> line.startsWith("GET ") ? Peers.WATCH : null)) {
       DiscoveryClient client = client(discovery, true);
-      for (int i = 1; i <= FAILURES; i++) {
-        int asked = i;
-        loop.submit(client::follow).sync();
-        Peers.await("the failure", () -> told.size() == asked);
+      for (int i = 1; i <= SOCKET_FAILURES; i++) {
+        int expected = i;
+        loop.submit(client::startWatch).sync();
+        Peers.await("the failure", () -> events.size() == expected);
       }
-      loop.submit(client::follow).sync();
-      Peers.await("a watch", () -> followed(discovery));
-      assertThat(told).containsOnly("failed NOT_MADE").hasSize(FAILURES);
+      loop.submit(client::startWatch).sync();
+      Peers.await("a watch", () -> hasWatch(discovery));
+      assertThat(events).containsOnly("failed NOT_MADE").hasSize(SOCKET_FAILURES);
       loop.submit(client::stop).sync();
     }
   }
 
-  /** A watch that has told a list and ends: what it told last holds until then, if it was whole. */
+  /** A watch that ends confirms its last list, unless it ends within an incomplete change. */
   @ParameterizedTest
   @CsvSource({"'', 2", "'{\"version\":3,', 1"})
-  void aWatchThatEndsWithinAChangeConfirmsNothing(String rest, int confirmations) throws Exception {
-    failures.set(0);
+  void watchThatEndsWithinAChangeDoesNotConfirmTheList(String partialChange, int confirmations)
+      throws Exception {
+    failuresLeft.set(0);
     try (Peers.Server discovery =
         new Peers.Server(line -> line.startsWith("GET ") ? Peers.WATCH : null)) {
       DiscoveryClient client = client(discovery, true);
-      loop.execute(client::follow);
-      Peers.await("a watch", () -> followed(discovery));
+      loop.execute(client::startWatch);
+      Peers.await("a watch", () -> hasWatch(discovery));
       discovery.send(0, Peers.chunk(Peers.list(2) + "\n"));
-      Peers.await("its list", () -> told.contains("list"));
-      if (!rest.isEmpty()) {
-        discovery.send(0, Peers.chunk(rest));
+      Peers.await("its list", () -> events.contains("list"));
+      if (!partialChange.isEmpty()) {
+        discovery.send(0, Peers.chunk(partialChange));
       }
       discovery.end(0, false);
-      Peers.await("its end", () -> told.stream().anyMatch(text -> text.startsWith("failed")));
-      assertThat(seen).filteredOn(ListEvidence.CONFIRMED::equals).hasSize(confirmations);
+      Peers.await("its end", () -> events.stream().anyMatch(text -> text.startsWith("failed")));
+      assertThat(observedEvidence)
+          .filteredOn(ListEvidence.CONFIRMED::equals)
+          .hasSize(confirmations);
       loop.submit(client::stop).sync();
     }
   }
--- a/src/test/java/beamspread/node/EverNewTest.java
+++ b/src/test/java/beamspread/node/EverNewTest.java
@@ -88,7 +88,7 @@
                   null,
                   null,
                   null),
-              ClientConnections.Limits.usual(64),
+              ClientConnections.Limits.defaults(64),
               Transport.TCP);
       try {
         InetSocketAddress address = (InetSocketAddress) node.start();
--- a/src/test/java/beamspread/node/LargeValuesTest.java
+++ b/src/test/java/beamspread/node/LargeValuesTest.java
@@ -12,19 +12,20 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.extension.ExtendWith;
 
-/** Values too large to be held: passed on as they come, whatever either side does meanwhile. */
+/** Values too large to be buffered are relayed in parts, with faults on either side. */
 @ExtendWith(LeakCheck.class)
 class LargeValuesTest {
   private static final long MS = 1_000_000L;
   private static final int MIB = 1 << 20;
-  private static final ClientConnections.Limits CALM = ClientConnections.Limits.usual(50);
-  private static final String VALUE = text(4 * MIB);
+  private static final ClientConnections.Limits DEFAULT_LIMITS =
+      ClientConnections.Limits.defaults(50);
+  private static final String VALUE = randomText(4 * MIB);
 
-  /** Limits that are reached while a test waits, but not by chance. */
-  private static final RelaySettings IMPATIENT =
+  /** Timeouts short enough for a test to wait for, and too long to pass by accident. */
+  private static final RelaySettings SHORT_TIMEOUTS =
       new RelaySettings(1 << 17, 1 << 22, 1 << 15, 600 * MS, 600 * MS, 1 << 18);
 
-  private static String text(int length) {
+  private static String randomText(int length) {
     Random random = new Random(length);
     StringBuilder text = new StringBuilder(length);
     for (int i = 0; i < length; i++) {
@@ -37,21 +38,21 @@
     return "VA " + VALUE.length() + " O" + Peers.flag(line, 'O') + " h1\r\n";
   }
 
-  /** Answers reads of keys that begin so with the whole value, others well. */
+  /** Answers reads of keys that start with L with the large value, others with a small one. */
   private static String answer(String line) {
     return line.startsWith("mg key-L") ? head(line) + VALUE + "\r\n" : Peers.good(line);
   }
 
-  /** The first bytes of the value for such reads. */
-  private static String part(String line, int bytes) {
+  /** Answers reads of keys that start with L with the first bytes of the large value. */
+  private static String partialAnswer(String line, int bytes) {
     return line.startsWith("mg key-L") ? head(line) + VALUE.substring(0, bytes) : Peers.good(line);
   }
 
-  private static String half(String line) {
-    return part(line, 2 * MIB);
+  private static String halfAnswer(String line) {
+    return partialAnswer(line, 2 * MIB);
   }
 
-  /** Told without the values themselves, which are too long to read. */
+  /** Compares without printing the values, which are too long to read. */
   private static void assertBytes(Peers.Client client, String expected) throws Exception {
     byte[] bytes = client.bytes(expected.length());
     assertThat(bytes.length).isEqualTo(expected.length());
@@ -65,9 +66,9 @@
   }
 
   @Test
-  void goThroughWholeAndTheirConnectionsAreUsedAgain() throws Exception {
+  void relaysCompleteValuesAndReusesConnections() throws Exception {
     try (Peers.Server server = new Peers.Server(LargeValuesTest::answer);
-        Peers.Rig rig = new Peers.Rig(CALM, server);
+        Peers.Rig rig = new Peers.Rig(DEFAULT_LIMITS, server);
         Peers.Client client = rig.client()) {
       for (int i = 0; i < 5; i++) {
         client.read("L" + i).read("s" + i);
@@ -82,9 +83,9 @@
   }
 
   @Test
-  void reachTheClientBeforeTheServerHasGivenAllOfThem() throws Exception {
-    try (Peers.Server server = new Peers.Server(LargeValuesTest::half);
-        Peers.Rig rig = new Peers.Rig(CALM, server);
+  void sendsPartsBeforeTheValueIsComplete() throws Exception {
+    try (Peers.Server server = new Peers.Server(LargeValuesTest::halfAnswer);
+        Peers.Rig rig = new Peers.Rig(DEFAULT_LIMITS, server);
         Peers.Client client = rig.client()) {
       client.read("L");
       assertThat(client.line()).startsWith("VA ");
@@ -96,15 +97,15 @@
   }
 
   @Test
-  void ofManyAtATimeLittleIsHeldThoughNoClientTakesAny() throws Exception {
+  void boundsBufferedBytesWhileNoClientReads() throws Exception {
     try (Peers.Server server = new Peers.Server(LargeValuesTest::answer);
-        Peers.Rig rig = new Peers.Rig(CALM, RelaySettings.usual(1 << 20), server)) {
+        Peers.Rig rig = new Peers.Rig(DEFAULT_LIMITS, RelaySettings.usual(1 << 20), server)) {
       List<Peers.Client> clients = new ArrayList<>();
       try {
         for (int i = 0; i < 6; i++) {
           clients.add(rig.client().read("L" + i));
         }
-        Peers.await("all are under way", () -> rig.node.relays().open() == 6);
+        Peers.await("all are being relayed", () -> rig.node.relays().open() == 6);
         Peers.await("reading has stopped", () -> rig.node.relays().held() >= 6 << 16);
         assertThat(rig.node.relays().held()).isLessThan((1 << 20) + (6 << 16));
         for (int i = 0; i < 6; i++) {
@@ -120,9 +121,9 @@
   }
 
   @Test
-  void aServerThatBreaksOffEndsTheClientsConnectionWithinTheValue() throws Exception {
-    try (Peers.Server server = new Peers.Server(LargeValuesTest::half);
-        Peers.Rig rig = new Peers.Rig(CALM, server);
+  void closesClientConnectionIfServerDisconnectsWithinValue() throws Exception {
+    try (Peers.Server server = new Peers.Server(LargeValuesTest::halfAnswer);
+        Peers.Rig rig = new Peers.Rig(DEFAULT_LIMITS, server);
         Peers.Client client = rig.client();
         Peers.Client other = rig.client()) {
       client.read("L");
@@ -136,10 +137,10 @@
   }
 
   @Test
-  void aValueThatIsLongerThanWasSaidIsNotEndedAsIfItWereWhole() throws Exception {
+  void doesNotCompleteValueThatIsLongerThanAnnounced() throws Exception {
     try (Peers.Server server =
             new Peers.Server(line -> answer(line).replaceFirst("\r\n$", "more\r\n"));
-        Peers.Rig rig = new Peers.Rig(CALM, server);
+        Peers.Rig rig = new Peers.Rig(DEFAULT_LIMITS, server);
         Peers.Client client = rig.client()) {
       client.read("L");
       assertThat(client.line()).startsWith("VA ");
@@ -149,9 +150,9 @@
   }
 
   @Test
-  void aServerThatFallsSilentWithinTheValueIsGivenUp() throws Exception {
-    try (Peers.Server server = new Peers.Server(LargeValuesTest::half);
-        Peers.Rig rig = new Peers.Rig(CALM, IMPATIENT, server);
+  void closesServerConnectionThatStallsWithinValue() throws Exception {
+    try (Peers.Server server = new Peers.Server(LargeValuesTest::halfAnswer);
+        Peers.Rig rig = new Peers.Rig(DEFAULT_LIMITS, SHORT_TIMEOUTS, server);
         Peers.Client client = rig.client()) {
       client.read("L");
       assertThat(client.line()).startsWith("VA ");
@@ -161,13 +162,13 @@
   }
 
   @Test
-  void aClientThatTakesNothingHoldsNoServersConnectionForGood() throws Exception {
+  void closesClientThatDoesNotRead() throws Exception {
     try (Peers.Server server = new Peers.Server(LargeValuesTest::answer);
-        Peers.Rig rig = new Peers.Rig(CALM, IMPATIENT, server);
+        Peers.Rig rig = new Peers.Rig(DEFAULT_LIMITS, SHORT_TIMEOUTS, server);
         Peers.Client client = new Peers.Client(rig.address, 4096)) {
       client.read("L");
-      Peers.await("it is given up", () -> rig.node.relays().slowClients() == 1);
-      Peers.await("nothing is under way", () -> rig.node.relays().open() == 0);
+      Peers.await("the client is closed", () -> rig.node.relays().slowClients() == 1);
+      Peers.await("no value is being relayed", () -> rig.node.relays().open() == 0);
       assertThat(rig.node.relays().held()).isZero();
       assertThat(client.line()).startsWith("VA ");
       assertThat(client.bytes(VALUE.length()).length).isLessThan(VALUE.length());
@@ -175,16 +176,16 @@
   }
 
   @Test
-  void whoLeavesWithinAValueFreesWhatHeHeld() throws Exception {
+  void releasesBuffersWhenClientDisconnectsWithinValue() throws Exception {
     try (Peers.Server server = new Peers.Server(LargeValuesTest::answer);
-        Peers.Rig rig = new Peers.Rig(CALM, server)) {
+        Peers.Rig rig = new Peers.Rig(DEFAULT_LIMITS, server)) {
       try (Peers.Client client = rig.client()) {
         client.read("L");
         assertThat(client.line()).startsWith("VA ");
       }
-      Peers.await("nothing is held", () -> rig.node.relays().held() == 0);
-      Peers.await("nothing is under way", () -> rig.node.relays().open() == 0);
-      Peers.await("nothing is open", () -> rig.node.openRequests() == 0);
+      Peers.await("no bytes are held", () -> rig.node.relays().held() == 0);
+      Peers.await("no value is being relayed", () -> rig.node.relays().open() == 0);
+      Peers.await("no request is open", () -> rig.node.openRequests() == 0);
       try (Peers.Client client = rig.client()) {
         client.read("L2");
         assertValue(client, "L2");
@@ -193,9 +194,9 @@
   }
 
   @Test
-  void answersStayInOrderBehindAndBeforeThem() throws Exception {
+  void keepsAnswersInOrderAroundLargeValues() throws Exception {
     try (Peers.Server server = new Peers.Server(LargeValuesTest::answer);
-        Peers.Rig rig = new Peers.Rig(CALM, server);
+        Peers.Rig rig = new Peers.Rig(DEFAULT_LIMITS, server);
         Peers.Client client = rig.client()) {
       client.write("1").read("L1").read("L2").read("2").write("3");
       assertThat(client.line()).isEqualTo("HD O1 c77");
@@ -208,17 +209,18 @@
   }
 
   @Test
-  void oneThatBreaksBeforeItsTurnIsToldInALineAndTheOthersGoOn() throws Exception {
+  void answersWithErrorIfValueBreaksBeforeItsFirstByteIsSent() throws Exception {
     try (Peers.Server server =
-            new Peers.Server(line -> line.startsWith("mg key-s") ? null : part(line, 1 << 16));
-        Peers.Rig rig = new Peers.Rig(CALM, server);
+            new Peers.Server(
+                line -> line.startsWith("mg key-s") ? null : partialAnswer(line, 1 << 16));
+        Peers.Rig rig = new Peers.Rig(DEFAULT_LIMITS, server);
         Peers.Client client = rig.client()) {
       client.read("s1");
-      Peers.await("the first is out", () -> server.lines.size() == 1);
+      Peers.await("the first is sent", () -> server.lines.size() == 1);
       client.read("L");
-      Peers.await("the value is on its way", () -> rig.node.relays().open() == 1);
+      Peers.await("the value is being relayed", () -> rig.node.relays().open() == 1);
       server.breakOne(server.lines.get(1));
-      Peers.await("its end is seen", () -> rig.node.relays().brokenByServers() == 1);
+      Peers.await("the disconnect is noticed", () -> rig.node.relays().brokenByServers() == 1);
       server.send(server.lines.get(0), "VA 5 Os1 h1\r\nhello\r\n");
       assertThat(client.line()).isEqualTo("VA 5 Os1");
       assertThat(client.line()).isEqualTo("hello");
@@ -228,9 +230,9 @@
   }
 
   @Test
-  void aPlannedRestartWaitsForThem() throws Exception {
-    try (Peers.Server server = new Peers.Server(LargeValuesTest::half);
-        Peers.Rig rig = new Peers.Rig(CALM, server);
+  void drainWaitsForLargeValues() throws Exception {
+    try (Peers.Server server = new Peers.Server(LargeValuesTest::halfAnswer);
+        Peers.Rig rig = new Peers.Rig(DEFAULT_LIMITS, server);
         Peers.Client client = rig.client()) {
       client.read("L");
       assertThat(client.line()).startsWith("VA ");
--- a/src/test/java/beamspread/node/SpoiltRepliesTest.java
+++ b/src/test/java/beamspread/node/MalformedRepliesTest.java
@@ -11,13 +11,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Cache servers that answer with what is no answer, or with more than one. */
+/** Cache servers that send malformed replies, or more than one reply to a request. */
 @ExtendWith(LeakCheck.class)
-class SpoiltRepliesTest {
-  private static final ClientConnections.Limits CALM = ClientConnections.Limits.usual(50);
+class MalformedRepliesTest {
+  private static final ClientConnections.Limits DEFAULT_LIMITS =
+      ClientConnections.Limits.defaults(50);
 
-  /** Answers the first command with a text, ID standing for the request's id, others well. */
-  private static Function<String, String> first(String answer) {
+  /** Answers the first command with a text, in which ID is the request's id; others correctly. */
+  private static Function<String, String> firstAnswer(String answer) {
     AtomicInteger count = new AtomicInteger();
     return line ->
         count.getAndIncrement() == 0
@@ -41,9 +42,9 @@
         "HD OID\r\n",
         "VA 5 OID h",
       })
-  void areFailedAttemptsOfAReadThatIsSentAgain(String answer) throws Exception {
-    try (Peers.Server server = new Peers.Server(first(answer));
-        Peers.Rig rig = new Peers.Rig(CALM, server);
+  void retriesReadAfterMalformedReply(String answer) throws Exception {
+    try (Peers.Server server = new Peers.Server(firstAnswer(answer));
+        Peers.Rig rig = new Peers.Rig(DEFAULT_LIMITS, server);
         Peers.Client client = rig.client()) {
       assertEquals("VA 5 O1", client.read("1").line());
       assertEquals("hello", client.line());
@@ -53,9 +54,9 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"VA 5 OID h1\r\nhello\r\n", "HD OID\r\n", "HD Oother c5\r\n", "HD"})
-  void mayHaveRunSoThatAnUnsafeWriteFails(String answer) throws Exception {
-    try (Peers.Server server = new Peers.Server(first(answer));
-        Peers.Rig rig = new Peers.Rig(CALM, server);
+  void failsUnsafeWriteAfterMalformedReply(String answer) throws Exception {
+    try (Peers.Server server = new Peers.Server(firstAnswer(answer));
+        Peers.Rig rig = new Peers.Rig(DEFAULT_LIMITS, server);
         Peers.Client client = rig.client()) {
       assertEquals("SERVER_ERROR failed", client.write("1").line());
       assertEquals("HD O2 c77", client.write("2").line());
@@ -71,24 +72,25 @@
         "VA 5 OID h1\r\nhello\r\nnoise\r\n",
         "VA 5 OID h1\r\nhello\r\nHD Oother c1\r\n",
       })
-  void moreThanTheAnswerHurtsNeitherItNorTheNext(String answer) throws Exception {
-    try (Peers.Server server = new Peers.Server(first(answer));
-        Peers.Rig rig = new Peers.Rig(CALM, server);
+  void extraBytesAfterReplyAffectNoOtherRequest(String answer) throws Exception {
+    try (Peers.Server server = new Peers.Server(firstAnswer(answer));
+        Peers.Rig rig = new Peers.Rig(DEFAULT_LIMITS, server);
         Peers.Client client = rig.client()) {
       assertEquals("VA 5 O1", client.read("1").line());
       assertEquals("hello", client.line());
       assertEquals("HD O2 c77", client.write("2").line());
       assertEquals(2, server.lines.size());
-      Peers.await("the connection is given up", () -> server.connections.size() <= 1);
+      Peers.await("the connection is closed", () -> server.connections.size() <= 1);
     }
   }
 
   @ParameterizedTest
   @ValueSource(
       strings = {"L", "L=", "Linflight=x,queue=,util=1e999", "L\u0001\u00ff=,, Oother c9 h0"})
-  void aLoadReportThatCannotBeReadIsNoReport(String report) throws Exception {
-    try (Peers.Server server = new Peers.Server(first("VA 5 OID h1 " + report + "\r\nhello\r\n"));
-        Peers.Rig rig = new Peers.Rig(CALM, server);
+  void ignoresMalformedLoadReport(String report) throws Exception {
+    try (Peers.Server server =
+            new Peers.Server(firstAnswer("VA 5 OID h1 " + report + "\r\nhello\r\n"));
+        Peers.Rig rig = new Peers.Rig(DEFAULT_LIMITS, server);
         Peers.Client client = rig.client()) {
       assertEquals("VA 5 O1", client.read("1").line());
       assertEquals("hello", client.line());
@@ -97,9 +99,9 @@
   }
 
   @Test
-  void aServersErrorLinesLeaveTheOthersOnItsConnectionAlone() throws Exception {
-    try (Peers.Server server = new Peers.Server(first("CLIENT_ERROR what\r\n"));
-        Peers.Rig rig = new Peers.Rig(CALM, server);
+  void errorLineDoesNotCloseServerConnection() throws Exception {
+    try (Peers.Server server = new Peers.Server(firstAnswer("CLIENT_ERROR what\r\n"));
+        Peers.Rig rig = new Peers.Rig(DEFAULT_LIMITS, server);
         Peers.Client client = rig.client()) {
       assertEquals("SERVER_ERROR failed", client.write("1").line());
       assertEquals("VA 5 O2", client.read("2").line());
--- a/src/test/java/beamspread/node/OperatorCallsTest.java
+++ b/src/test/java/beamspread/node/OperatorCallsTest.java
@@ -233,6 +233,6 @@
   }
 
   private static String number(String id) {
-    return Long.toHexString(MemberList.number(id));
+    return Long.toHexString(MemberList.serverNumber(id));
   }
 }
--- a/src/test/java/beamspread/node/OtherCustomersTest.java
+++ b/src/test/java/beamspread/node/OtherCustomersTest.java
@@ -121,7 +121,7 @@
   private static Node node(TomlParseResult site, Peers.Server discovery, Peers.Server server)
       throws Exception {
     NodeConfig config = NodeConfig.parse(Message.parse(config(site, discovery, server)));
-    return new Node(config, ClientConnections.Limits.usual(64), Transport.TCP);
+    return new Node(config, ClientConnections.Limits.defaults(64), Transport.TCP);
   }
 
   private static String request(TomlTable type, String id) {
--- a/src/test/java/beamspread/node/Peers.java
+++ b/src/test/java/beamspread/node/Peers.java
@@ -430,7 +430,7 @@
             null,
             null,
             null),
-        ClientConnections.Limits.usual(16),
+        ClientConnections.Limits.defaults(16),
         Transport.TCP);
   }
 
@@ -505,7 +505,7 @@
           listen,
           management,
           discovery,
-          ClientConnections.Limits.usual(50),
+          ClientConnections.Limits.defaults(50),
           256,
           pool(SETTINGS, 256),
           Arrays.stream(servers).map(Server::address).toList());
@@ -541,7 +541,7 @@
           new InetSocketAddress("127.0.0.1", 0),
           null,
           discovery,
-          ClientConnections.Limits.usual(50),
+          ClientConnections.Limits.defaults(50),
           256,
           pool,
           Arrays.stream(servers).map(Server::address).toList(),
@@ -563,7 +563,7 @@
       this.discovery = discovery;
       List<MemberList.Member> members = new ArrayList<>();
       for (InetSocketAddress server : servers) {
-        long id = MemberList.number("s-" + server.getPort());
+        long id = MemberList.serverNumber("s-" + server.getPort());
         members.add(
             new MemberList.Member(
                 new ServerEntry(id, "a", "box", 0, ServerEntry.State.READY, 1, 0), server));
--- a/src/test/java/beamspread/node/PoolSocketsTest.java
+++ b/src/test/java/beamspread/node/PoolSocketsTest.java
@@ -41,7 +41,7 @@
       servers.add(new CacheServer(group.next(), conduct));
     }
     return new Peers.Rig(
-        ClientConnections.Limits.usual(120),
+        ClientConnections.Limits.defaults(120),
         pool,
         servers.stream().map(CacheServer::address).toList());
   }
@@ -156,7 +156,7 @@
       for (int i = 0; i < 20; i++) {
         rigs.add(
             new Peers.Rig(
-                ClientConnections.Limits.usual(40),
+                ClientConnections.Limits.defaults(40),
                 pool(6, 0, 300),
                 List.of(servers.get(0).address())));
       }
@@ -239,7 +239,7 @@
     String head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     Peers.Server discovery =
         new Peers.Server(line -> line.startsWith("GET ") ? head + chunk(first) : null);
-    try (Peers.Rig rig = new Peers.Rig(discovery, ClientConnections.Limits.usual(120), 256)) {
+    try (Peers.Rig rig = new Peers.Rig(discovery, ClientConnections.Limits.defaults(120), 256)) {
       Peers.await("the list is asked for", () -> !discovery.lines.isEmpty());
       try (Peers.Client client = rig.client()) {
         Peers.await("the server is known", () -> served(client));
--- a/src/test/java/beamspread/node/EndingsTest.java
+++ b/src/test/java/beamspread/node/RequestEndTest.java
@@ -13,14 +13,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.extension.ExtendWith;
 
-/** The instants in which something is still owed: by a node that ends, a window, a grace. */
+/** Requests that are open when a drain begins, a repeat window ends, or a server drains. */
 @ExtendWith(LeakCheck.class)
-class EndingsTest {
-  private static final long FOREVER = 20_000_000_000L;
+class RequestEndTest {
+  private static final long LONG_NANOS = 20_000_000_000L;
 
-  /** One connection to each server, and one attempt on it. */
-  private static final PoolSettings ONE =
-      new PoolSettings(1, 0, 0, 1, 8, 1, 8, 0, 8, FOREVER, 0, FOREVER, 1);
+  /** One connection to each server, with one attempt at a time. */
+  private static final PoolSettings ONE_CONNECTION =
+      new PoolSettings(1, 0, 0, 1, 8, 1, 8, 0, 8, LONG_NANOS, 0, LONG_NANOS, 1);
 
   private static Settings settings(double connectTimeout, Settings.ServiceClass... classes) {
     return Peers.settings(
@@ -39,15 +39,16 @@
     return drain;
   }
 
-  private static long outOf(Peers.Server server, String id) {
+  private static long receivedCount(Peers.Server server, String id) {
     return server.lines.stream().filter(line -> line.contains(" O" + id + " ")).count();
   }
 
   /**
-   * The platform ends a node 3.7 s after it was told to, whatever the settings let clients wait.
+   * The platform kills a node 3.7 s after the stop signal, however long the deadlines of its
+   * requests are.
    */
   @Test
-  void aStopAnswersRequestsOfLongDeadlinesBeforeItIsKilled() throws Exception {
+  void drainAnswersRequestsWithLongDeadlinesBeforeProcessIsKilled() throws Exception {
     Settings settings = settings(1, read(30));
     try (Peers.Server server = new Peers.Server(line -> null);
         Peers.Rig rig =
@@ -56,8 +57,8 @@
         Peers.Client before = rig.client();
         Peers.Client after = rig.client()) {
       before.send("mg a v O1 Pc=read,d=30000\r\n");
-      Peers.await("it goes out", () -> server.lines.size() == 1);
-      long began = System.nanoTime();
+      Peers.await("the request is sent", () -> server.lines.size() == 1);
+      long startedNanos = System.nanoTime();
       Thread drain = drain(rig);
       Peers.await("the drain waits", () -> drain.getState() == Thread.State.TIMED_WAITING);
       rig.node.loop().submit(() -> {}).sync();
@@ -67,13 +68,13 @@
       assertNotNull(late, "no answer");
       assertTrue(late.startsWith("SERVER_ERROR"), late);
       drain.join();
-      long millis = (System.nanoTime() - began) / 1_000_000;
+      long millis = (System.nanoTime() - startedNanos) / 1_000_000;
       assertTrue(millis < 12_000, "ended after " + millis + " ms of 30 s");
     }
   }
 
   @Test
-  void aNodeThatDoesNotListenYetEndsAtOnce() throws Exception {
+  void drainEndsAtOnceIfNodeIsNotListening() throws Exception {
     Settings settings = settings(1, read(10));
     try (Peers.Server discovery = new Peers.Server(line -> null)) {
       Node node = Peers.node(settings, discovery);
@@ -81,107 +82,116 @@
         Thread drain = new Thread(node::drain);
         drain.start();
         drain.join(3_000);
-        assertFalse(drain.isAlive(), "nothing was taken, and it waits");
+        assertFalse(drain.isAlive(), "the drain waits although no client was accepted");
       } finally {
         node.close();
       }
     }
   }
 
-  /** Its repeat waits for the one connection until servers have forgotten the first. */
+  /** The retry waits for the only connection until servers have forgotten the first attempt. */
   @Test
-  void aKeyedWriteIsNotRepeatedOnceItsWindowIsOver() throws Exception {
+  void doesNotRetryKeyedWriteAfterRepeatWindow() throws Exception {
     Settings.ServiceClass keyed =
         new Settings.ServiceClass(
             "keyed", 5, 0, 10, 1, 0, Settings.Effect.KEYED, Settings.Group.ALL, 1.5, false);
     try (Peers.Server server = new Peers.Server(line -> null);
         Peers.Rig rig =
             new Peers.Rig(
-                settings(0.3, read(20), keyed), ONE, new Peers.Server(line -> null), server);
+                settings(0.3, read(20), keyed),
+                ONE_CONNECTION,
+                new Peers.Server(line -> null),
+                server);
         Peers.Client writer = rig.client();
         Peers.Client reader = rig.client()) {
       writer.send("ms a 5 O1 Pc=keyed,d=10000,k=77\r\nworld\r\n");
-      Peers.await("the write goes out", () -> outOf(server, "1") == 1);
-      long first = System.nanoTime();
+      Peers.await("the write is sent", () -> receivedCount(server, "1") == 1);
+      long firstSentNanos = System.nanoTime();
       reader.send("mg b v O2 Pc=read,d=20000\r\n");
       Peers.await("the read waits behind it", () -> rig.node.openRequests() == 2);
       server.breakOne(server.lines.get(0));
-      Peers.await("the read goes first", () -> outOf(server, "2") == 1);
-      assertTrue(System.nanoTime() - first < 1_100_000_000L, "slower than the window");
-      Peers.await("the window is over", () -> System.nanoTime() - first > 1_600_000_000L);
+      Peers.await("the read is sent first", () -> receivedCount(server, "2") == 1);
+      assertTrue(System.nanoTime() - firstSentNanos < 1_100_000_000L, "slower than the window");
+      Peers.await("the window is over", () -> System.nanoTime() - firstSentNanos > 1_600_000_000L);
       String read = server.lines.get(1);
       server.script = Peers::good;
       server.send(read, Peers.good(read));
       assertEquals("VA 5 O2", reader.line());
       assertEquals("SERVER_ERROR busy", writer.line());
-      assertEquals(1, outOf(server, "1"), "carried out twice");
+      assertEquals(1, receivedCount(server, "1"), "carried out twice");
     }
   }
 
-  /** What was decided before the drain waits for a connection past the grace. */
+  /** A request that chose its server before the drain waits for a connection past the grace. */
   @Test
-  void nothingThatWaitedIsSentToAServerThatDrains() throws Exception {
-    try (Peers.Server drains = new Peers.Server(line -> null);
-        Peers.Server stays = new Peers.Server(Peers::good);
+  void doesNotSendQueuedRequestToDrainingServer() throws Exception {
+    try (Peers.Server draining = new Peers.Server(line -> null);
+        Peers.Server ready = new Peers.Server(Peers::good);
         Peers.Server discovery =
             new Peers.Server(line -> line.startsWith("GET ") ? Peers.WATCH : null);
-        Peers.Rig rig = new Peers.Rig(settings(1, read(20)), ONE, discovery, drains);
+        Peers.Rig rig = new Peers.Rig(settings(1, read(20)), ONE_CONNECTION, discovery, draining);
         Peers.Client first = rig.client();
         Peers.Client second = rig.client()) {
       first.send("mg a v O1 Pc=read,d=20000\r\n");
-      Peers.await("the first goes out", () -> outOf(drains, "1") == 1);
+      Peers.await("the first is sent", () -> receivedCount(draining, "1") == 1);
       second.send("mg b v O2 Pc=read,d=20000\r\n");
       Peers.await("the second waits", () -> rig.node.openRequests() == 2);
       Peers.await("a watch", () -> !discovery.lines.isEmpty());
-      String list = Peers.list(2, drains, stays).replaceFirst("active", "leaving");
+      String list = Peers.list(2, draining, ready).replaceFirst("active", "leaving");
       discovery.send(0, Peers.chunk(list + "\n"));
-      // At once, not when the connection falls free.
+      // Redirected at once, not when the connection is free.
       assertEquals("VA 5 O2", second.line());
-      assertEquals(1, outOf(stays, "2"));
-      drains.send(drains.lines.get(0), Peers.good(drains.lines.get(0)));
+      assertEquals(1, receivedCount(ready, "2"));
+      draining.send(draining.lines.get(0), Peers.good(draining.lines.get(0)));
       assertEquals("VA 5 O1", first.line());
-      assertEquals(0, outOf(drains, "2"));
+      assertEquals(0, receivedCount(draining, "2"));
     }
   }
 
-  /** A time-out while it waits for a connection: it has never run, and may be refused. */
+  /** A write that times out while it waits for a connection was never executed. */
   @Test
-  void aWriteThatWasNeverWrittenIsRefused() throws Exception {
+  void refusesUnsafeWriteThatWasNeverSent() throws Exception {
     Settings.ServiceClass put = Peers.service("put", Settings.Effect.UNSAFE, 0.5, 1);
     try (Peers.Server server = new Peers.Server(line -> null);
         Peers.Rig rig =
             new Peers.Rig(
-                settings(0.3, read(20), put), ONE, new Peers.Server(line -> null), server);
+                settings(0.3, read(20), put),
+                ONE_CONNECTION,
+                new Peers.Server(line -> null),
+                server);
         Peers.Client reader = rig.client();
         Peers.Client writer = rig.client()) {
       reader.send("mg a v O1 Pc=read,d=20000\r\n");
-      Peers.await("the read goes out", () -> outOf(server, "1") == 1);
+      Peers.await("the read is sent", () -> receivedCount(server, "1") == 1);
       writer.send("ms b 5 O2 Pc=put,d=1000\r\nworld\r\n");
       assertEquals("SERVER_ERROR busy", writer.line());
       server.send(server.lines.get(0), Peers.good(server.lines.get(0)));
       assertEquals("VA 5 O1", reader.line());
-      assertEquals(0, outOf(server, "2"));
+      assertEquals(0, receivedCount(server, "2"));
     }
   }
 
-  /** The other order: it was written, and what became of it is not known. */
+  /** A write that was sent may have been executed. */
   @Test
-  void aWriteThatWasWrittenIsNotRefused() throws Exception {
+  void failsUnsafeWriteThatWasSent() throws Exception {
     Settings.ServiceClass put = Peers.service("put", Settings.Effect.UNSAFE, 0.5, 1);
     try (Peers.Server server = new Peers.Server(line -> null);
         Peers.Rig rig =
             new Peers.Rig(
-                settings(0.3, read(20), put), ONE, new Peers.Server(line -> null), server);
+                settings(0.3, read(20), put),
+                ONE_CONNECTION,
+                new Peers.Server(line -> null),
+                server);
         Peers.Client writer = rig.client()) {
       writer.send("ms b 5 O2 Pc=put,d=1000\r\nworld\r\n");
       assertEquals("SERVER_ERROR failed", writer.line());
-      assertEquals(1, outOf(server, "2"));
+      assertEquals(1, receivedCount(server, "2"));
     }
   }
 
-  /** What a client sends behind an open request in a drain is answered from its arrival on. */
+  /** A request that is received during a drain is sent while an earlier one is still open. */
   @Test
-  void whatComesBehindAnOpenRequestInADrainDoesNotWaitForIt() throws Exception {
+  void drainSendsRequestBehindAnOpenOneWithoutWaiting() throws Exception {
     Settings settings = settings(1, read(10));
     try (Peers.Server server = new Peers.Server(line -> null);
         Peers.Rig rig =
@@ -189,11 +199,12 @@
                 settings, Peers.pool(settings, 256), new Peers.Server(line -> null), server);
         Peers.Client client = rig.client()) {
       client.send("mg a v O1 Pc=read,d=10000\r\n");
-      Peers.await("the first goes out", () -> outOf(server, "1") == 1);
+      Peers.await("the first is sent", () -> receivedCount(server, "1") == 1);
       Thread drain = drain(rig);
       Peers.await("the drain has begun", () -> rig.node.drainsClients());
       client.send("mg b v O2 Pc=read,d=1500\r\n");
-      Peers.await("it goes out while the first is open", () -> outOf(server, "2") == 1);
+      Peers.await(
+          "the second is sent while the first is open", () -> receivedCount(server, "2") == 1);
       for (String line : List.copyOf(server.lines)) {
         server.send(line, Peers.good(line));
       }
--- a/src/test/java/beamspread/node/ScriptedDiscovery.java
+++ b/src/test/java/beamspread/node/ScriptedDiscovery.java
@@ -18,21 +18,21 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * A stand-in discovery whose conduct can be changed while it runs: it tells its list to watches, or
- * answers in one of the ways in which a real service fails. One thread for each call.
+ * A simulated discovery service whose behaviour can be changed while it runs: it sends its list to
+ * watches, or fails in one of the ways of a real service. Uses one thread per call.
  */
 final class ScriptedDiscovery implements AutoCloseable {
-  private static final long BEAT_MILLIS = 500;
+  private static final long HEARTBEAT_MILLIS = 500;
 
-  /** More connections than a queue of one holds. */
-  private static final int QUEUE_FILLED_BY = 8;
+  /** Connections that are certain to fill an accept queue of length one. */
+  private static final int BACKLOG_FILLERS = 8;
 
-  /** How long a call may wait for its turn, as the protocol's discovery has it. */
-  static final long LONGEST_WAIT_MILLIS = 2000;
+  /** How long the discovery of the protocol queues a call at most. */
+  static final long MAX_QUEUE_MILLIS = 2000;
 
-  /** How calls are answered. */
-  interface Conduct {
-    /** Answers one call; it is over on return, and its connection is closed. */
+  /** A way to answer calls. */
+  interface Behaviour {
+    /** Answers one call; its connection is closed on return. */
     void answer(Call call) throws IOException, InterruptedException;
   }
 
@@ -44,11 +44,11 @@
       out.flush();
     }
 
-    void refuse() throws IOException {
+    void reject() throws IOException {
       write("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
     }
 
-    /** Says nothing more until the caller has gone. */
+    /** Sends nothing more and returns when the caller has disconnected. */
     void hang() throws IOException {
       while (socket.getInputStream().read() >= 0) {
         continue;
@@ -65,9 +65,9 @@
   private final List<Socket> sockets = new CopyOnWriteArrayList<>();
   private final AtomicInteger calls = new AtomicInteger();
   private volatile String list;
-  private volatile Conduct conduct = this::watch;
+  private volatile Behaviour behaviour = this::watch;
 
-  /** One that tells this list, which it can be given anew. */
+  /** Starts a service that sends this list. */
   ScriptedDiscovery(String list) throws IOException {
     this.list = list;
     listen(0);
@@ -79,7 +79,7 @@
     acceptor = daemon(() -> accept(opened));
   }
 
-  /** Stops listening; returns the port. It is free once the thread that accepts has ended. */
+  /** Stops listening and waits for the accepting thread, after which the returned port is free. */
   private int stopListening() throws IOException {
     int port = listener.getLocalPort();
     listener.close();
@@ -91,23 +91,23 @@
     return port;
   }
 
-  /** It ends: its connections are reset and new ones refused. */
-  void down() throws IOException {
+  /** Resets all connections and refuses new ones. */
+  void goDown() throws IOException {
     stopListening();
     resetAll();
   }
 
-  /** It is back at its address. */
-  void up() throws IOException {
+  /** Listens again at the same address. */
+  void comeUp() throws IOException {
     listen(listener.getLocalPort());
   }
 
-  /** It accepts nothing more, and its queue of connections is full: new ones never come up. */
-  void full() throws IOException {
+  /** Stops accepting and fills the accept queue, so that new connections time out. */
+  void fillBacklog() throws IOException {
     int port = stopListening();
     ServerSocket idle = new ServerSocket(port, 1, InetAddress.getByName("127.0.0.1"));
     listener = idle;
-    for (int i = 0; i < QUEUE_FILLED_BY; i++) {
+    for (int i = 0; i < BACKLOG_FILLERS; i++) {
       Socket filler = new Socket();
       sockets.add(filler);
       try {
@@ -119,9 +119,9 @@
     }
   }
 
-  /** It works again, whatever it did before. */
+  /** Ends any fault. */
   void heal() throws IOException {
-    conduct = this::watch;
+    behaviour = this::watch;
     resetAll();
     listen(stopListening());
   }
@@ -130,19 +130,19 @@
     return (InetSocketAddress) listener.getLocalSocketAddress();
   }
 
-  /** Calls that have come so far. */
+  /** Returns the number of calls received so far. */
   int calls() {
     return calls.get();
   }
 
-  /** What watches are told from their next beat on. */
-  void list(String changed) {
-    list = changed;
+  /** Sets the list that watches send from their next heartbeat on. */
+  void setList(String newList) {
+    list = newList;
   }
 
-  /** How calls are answered from now on; those under way go on as they were. */
-  void conduct(Conduct changed) {
-    conduct = changed;
+  /** Sets the behaviour for new calls; calls in progress are not affected. */
+  void setBehaviour(Behaviour newBehaviour) {
+    behaviour = newBehaviour;
   }
 
   /** Resets all connections. */
@@ -156,48 +156,48 @@
     try {
       socket.setSoLinger(true, 0);
     } catch (SocketException e) {
-      // The other end, or the thread that serves it, has closed it meanwhile.
+      // Closed meanwhile by the peer or by the thread that serves the call.
     }
     socket.close();
   }
 
-  /** The good conduct: a watch that is told the whole list at first and whenever it has changed. */
+  /** The normal behaviour: sends the full list at first and after each change. */
   void watch(Call call) throws IOException, InterruptedException {
-    String told = list;
-    call.write(Peers.WATCH + Peers.chunk(told + "\n"));
+    String sentList = list;
+    call.write(Peers.WATCH + Peers.chunk(sentList + "\n"));
     while (true) {
-      TimeUnit.MILLISECONDS.sleep(BEAT_MILLIS);
+      TimeUnit.MILLISECONDS.sleep(HEARTBEAT_MILLIS);
       String current = list;
-      call.write(Peers.chunk(current.equals(told) ? "\n" : current + "\n"));
-      told = current;
+      call.write(Peers.chunk(current.equals(sentList) ? "\n" : current + "\n"));
+      sentList = current;
     }
   }
 
-  /** It has too much to do: the call waits for its turn in vain. */
-  void crowded(Call call) throws IOException, InterruptedException {
-    TimeUnit.MILLISECONDS.sleep(LONGEST_WAIT_MILLIS);
-    call.refuse();
+  /** Overloaded: rejects the call after it was queued for the maximum time. */
+  void overloaded(Call call) throws IOException, InterruptedException {
+    TimeUnit.MILLISECONDS.sleep(MAX_QUEUE_MILLIS);
+    call.reject();
   }
 
-  /** It turns calls away at once. */
-  void turnsAway(Call call) throws IOException {
-    call.refuse();
+  /** Rejects calls at once. */
+  void rejects(Call call) throws IOException {
+    call.reject();
   }
 
-  /** It breaks off in the middle of its answer, and the connection stays open. */
-  void breaksOff(Call call) throws IOException {
+  /** Stops in the middle of the answer and keeps the connection open. */
+  void stallsMidway(Call call) throws IOException {
     call.write(Peers.WATCH + Peers.chunk(list.substring(0, list.length() / 2)));
     call.hang();
   }
 
-  /** It resets the connection in the middle of its answer. */
+  /** Resets the connection in the middle of the answer. */
   void resetsMidway(Call call) throws IOException {
     call.write(Peers.WATCH + Peers.chunk(list.substring(0, list.length() / 2)));
     call.reset();
   }
 
-  /** Its answer comes byte by byte. */
-  void drips(Call call) throws IOException, InterruptedException {
+  /** Sends the answer byte by byte, ten a second. */
+  void trickles(Call call) throws IOException, InterruptedException {
     call.write(Peers.WATCH);
     for (char c : list.toCharArray()) {
       call.write(Peers.chunk(String.valueOf(c)));
@@ -205,22 +205,22 @@
     }
   }
 
-  /** It takes the call and says nothing. */
+  /** Accepts the call and sends nothing. */
   void silent(Call call) throws IOException {
     call.hang();
   }
 
-  /** Its watch stands and beats, and tells no list. */
-  void beatsAlone(Call call) throws IOException, InterruptedException {
+  /** Sends heartbeats only, and no list. */
+  void heartbeatsOnly(Call call) throws IOException, InterruptedException {
     call.write(Peers.WATCH);
     while (true) {
       call.write(Peers.chunk("\n"));
-      TimeUnit.MILLISECONDS.sleep(BEAT_MILLIS);
+      TimeUnit.MILLISECONDS.sleep(HEARTBEAT_MILLIS);
     }
   }
 
-  /** What it says can't be read. */
-  void nonsense(Call call) throws IOException {
+  /** Sends a list that can't be parsed. */
+  void malformed(Call call) throws IOException {
     call.write(Peers.WATCH + Peers.chunk("{\"version\":\"none\"}\n"));
     call.hang();
   }
@@ -245,25 +245,25 @@
       }
       if (request != null) {
         calls.incrementAndGet();
-        conduct.answer(new Call(socket, request.split(" ")[1]));
+        behaviour.answer(new Call(socket, request.split(" ")[1]));
       }
     } finally {
       sockets.remove(socket);
     }
   }
 
-  private interface Step {
+  private interface Task {
     void run() throws IOException, InterruptedException;
   }
 
-  private static Thread daemon(Step step) {
+  private static Thread daemon(Task step) {
     Thread thread =
         new Thread(
             () -> {
               try {
                 step.run();
               } catch (IOException | InterruptedException e) {
-                // The other end, or the test, has closed the socket.
+                // The socket was closed by the peer or by the test.
               }
             });
     thread.setDaemon(true);
--- a/src/test/java/beamspread/node/ServersTest.java
+++ b/src/test/java/beamspread/node/ServersTest.java
@@ -14,7 +14,7 @@
 /** Many servers, few descriptors, and lists that make no sense. */
 @ExtendWith(LeakCheck.class)
 class ServersTest {
-  private static final ClientConnections.Limits CALM = ClientConnections.Limits.usual(50);
+  private static final ClientConnections.Limits CALM = ClientConnections.Limits.defaults(50);
 
   private static int open(List<Peers.Server> servers) {
     return servers.stream().mapToInt(server -> server.connections.size()).sum();
--- a/src/test/java/beamspread/node/StaleListTest.java
+++ b/src/test/java/beamspread/node/StaleListTest.java
@@ -20,36 +20,39 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Real node processes that can't get the list of cache servers, while a server leaves it. What
- * discovery has to tell counts as told 6 s later, whether or not it arrived; requests may go to a
- * server that has left for the grace of 2 s more, with 50 ms of slack.
+ * Node processes that can't get the list of cache servers while a server leaves it. A change of the
+ * list takes effect 6 s later, whether or not the node received it. Requests may be sent to a
+ * server that has left during the grace of 2 s after that, with 50 ms of tolerance.
  */
 class StaleListTest {
-  private static final long TOLD_MILLIS = 6000;
+  private static final long CHANGE_EFFECTIVE_MILLIS = 6000;
   private static final long GRACE_MILLIS = 2050;
 
-  /** For so long after the last confirmed list a node has to go on as it was. */
-  private static final long SERVES_ON_MILLIS = 5000;
+  /** Time after the last confirmed list for which a node must not refuse requests. */
+  private static final long MUST_SERVE_MILLIS = 5000;
 
-  private static final long WATCHED_MILLIS = 12_000;
-  private static final long REQUEST_EVERY_MILLIS = 40;
+  private static final long FAULT_MILLIS = 12_000;
+  private static final long REQUEST_INTERVAL_MILLIS = 40;
 
   @TempDir Path folder;
 
-  /** One cache server, which notes when commands come. */
-  private static final class Cache implements AutoCloseable {
+  /** A cache server that records when it receives commands. */
+  private static final class CacheServer implements AutoCloseable {
     final List<Long> arrivals = new CopyOnWriteArrayList<>();
     final Peers.Server server = new Peers.Server(this::answer);
 
-    Cache() throws IOException {}
+    CacheServer() throws IOException {}
 
     private String answer(String command) {
       arrivals.add(System.nanoTime());
       return Peers.good(command);
     }
 
-    /** How long after a moment the last command came, in milliseconds; below 0 for before. */
-    long lastAfter(long moment) {
+    /**
+     * Returns the time from a moment to the last command, in milliseconds; negative if the command
+     * came before it.
+     */
+    long millisToLastCommand(long moment) {
       return arrivals.isEmpty() ? -1 : (arrivals.get(arrivals.size() - 1) - moment) / 1_000_000;
     }
 
@@ -59,34 +62,35 @@
     }
   }
 
-  /** A node process, what it talks to, and a client that asks it for one key after the other. */
-  private final class Scene implements AutoCloseable {
-    final Cache stays = new Cache();
-    final Cache leaves = new Cache();
+  /** A node process with its peers, and a client that reads one key after the other. */
+  private final class Scenario implements AutoCloseable {
+    final CacheServer staying = new CacheServer();
+    final CacheServer leaving = new CacheServer();
     final ScriptedDiscovery discovery;
     final ServeProcess node;
     final Process process;
     final Peers.Client client;
-    final ScheduledExecutorService clock = Executors.newSingleThreadScheduledExecutor();
+    final ScheduledExecutorService scheduler = Executors.newSingleThreadScheduledExecutor();
     final List<Long> servedAt = new CopyOnWriteArrayList<>();
-    final List<Long> turnedAwayAt = new CopyOnWriteArrayList<>();
-    final List<String> others = new CopyOnWriteArrayList<>();
-    final AtomicInteger asked = new AtomicInteger();
+    final List<Long> refusedAt = new CopyOnWriteArrayList<>();
+    final List<String> otherAnswers = new CopyOnWriteArrayList<>();
+    final AtomicInteger requestCount = new AtomicInteger();
 
-    Scene(String name) throws Exception {
-      discovery = new ScriptedDiscovery(Peers.list(41, stays.server, leaves.server));
+    Scenario(String name) throws Exception {
+      discovery = new ScriptedDiscovery(Peers.list(41, staying.server, leaving.server));
       node = new ServeProcess(folder, name);
-      node.configure("127.0.0.1:0", "", discovery.address(), 1, stays.server, leaves.server);
+      node.configure("127.0.0.1:0", "", discovery.address(), 1, staying.server, leaving.server);
       process = node.launch();
       Peers.await(name + " follows the list", () -> node.logged("discovery: version 41"));
-      Peers.await(name + " tells its status", () -> listens() != null);
-      client = new Peers.Client(listens());
-      clock.scheduleAtFixedRate(this::ask, 0, REQUEST_EVERY_MILLIS, TimeUnit.MILLISECONDS);
-      Peers.await(name + " uses both", () -> leaves.arrivals.size() > 3);
+      Peers.await(name + " reports its status", () -> listenAddress() != null);
+      client = new Peers.Client(listenAddress());
+      scheduler.scheduleAtFixedRate(
+          this::sendRequest, 0, REQUEST_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+      Peers.await(name + " uses both servers", () -> leaving.arrivals.size() > 3);
     }
 
-    /** Where the node takes clients; null while it does not tell. */
-    private InetSocketAddress listens() {
+    /** Returns the address for clients from the status; null while there is no status. */
+    private InetSocketAddress listenAddress() {
       try {
         String[] at = node.status().requiredText("listen").split(":");
         return new InetSocketAddress(at[0], Integer.parseInt(at[1]));
@@ -95,33 +99,33 @@
       }
     }
 
-    private void ask() {
+    private void sendRequest() {
       try {
-        String id = Integer.toString(asked.incrementAndGet());
+        String id = Integer.toString(requestCount.incrementAndGet());
         String answer = client.read(id).line();
         if (("VA 5 O" + id).equals(answer)) {
           client.line();
           servedAt.add(System.nanoTime());
         } else if (answer != null && answer.startsWith("SERVER_ERROR busy")) {
-          turnedAwayAt.add(System.nanoTime());
+          refusedAt.add(System.nanoTime());
         } else {
-          others.add(String.valueOf(answer));
+          otherAnswers.add(String.valueOf(answer));
         }
       } catch (IOException | AssertionError e) {
-        others.add(e.toString());
+        otherAnswers.add(e.toString());
       }
     }
 
-    /** One server leaves, and all watches break; returns when. */
-    long cut(Fault fault) throws IOException {
-      discovery.list(Peers.list(42, stays.server));
+    /** Removes one server from the list and begins the fault; returns the time of the removal. */
+    long removeServerAndBegin(Fault fault) throws IOException {
+      discovery.setList(Peers.list(42, staying.server));
       long moment = System.nanoTime();
-      fault.step.begin(discovery);
+      fault.action.begin(discovery);
       return moment;
     }
 
-    /** Discovery works again, and the node has the list and serves by it. */
-    void heal() throws Exception {
+    /** Ends the fault and waits until the node serves requests by the new list. */
+    void recover() throws Exception {
       discovery.heal();
       Peers.await("the new list", () -> node.logged("discovery: version 42"));
       int before = servedAt.size();
@@ -130,56 +134,58 @@
 
     @Override
     public void close() throws IOException {
-      clock.shutdownNow();
+      scheduler.shutdownNow();
       process.destroyForcibly().onExit().join();
       client.close();
       discovery.close();
-      stays.close();
-      leaves.close();
+      staying.close();
+      leaving.close();
     }
   }
 
-  private static void await(long moment, long millis) throws InterruptedException {
+  private static void awaitElapsed(long moment, long millis) throws InterruptedException {
     Peers.await(
         millis + " ms have passed", () -> System.nanoTime() - moment >= millis * 1_000_000L);
   }
 
-  /** Plays one way in which no list can be had; returns what was wrong. */
-  private String play(Fault fault) {
-    try (Scene scene = new Scene(fault.name())) {
-      long cut = scene.cut(fault);
-      await(cut, WATCHED_MILLIS);
-      long last = scene.leaves.lastAfter(cut);
-      long late = TOLD_MILLIS + GRACE_MILLIS;
-      List<String> wrong = new ArrayList<>();
-      if (last > late) {
-        wrong.add("sent to a server " + last + " ms after it left the list");
+  /** Runs one fault; returns a description of all violations, empty for none. */
+  private String runFault(Fault fault) {
+    try (Scenario scenario = new Scenario(fault.name())) {
+      long cutNanos = scenario.removeServerAndBegin(fault);
+      awaitElapsed(cutNanos, FAULT_MILLIS);
+      long lastSentMillis = scenario.leaving.millisToLastCommand(cutNanos);
+      long latestAllowedMillis = CHANGE_EFFECTIVE_MILLIS + GRACE_MILLIS;
+      List<String> violations = new ArrayList<>();
+      if (lastSentMillis > latestAllowedMillis) {
+        violations.add("sent to a server " + lastSentMillis + " ms after it left the list");
       }
-      if (scene.turnedAwayAt.stream().anyMatch(at -> at - cut < SERVES_ON_MILLIS * 1_000_000L)) {
-        wrong.add("turned requests away within " + SERVES_ON_MILLIS + " ms");
+      if (scenario.refusedAt.stream()
+          .anyMatch(at -> at - cutNanos < MUST_SERVE_MILLIS * 1_000_000L)) {
+        violations.add("refused requests within " + MUST_SERVE_MILLIS + " ms");
       }
-      scene.heal();
-      if (scene.leaves.lastAfter(cut) > Math.max(last, late)) {
-        wrong.add("sent to a server that the new list does not name");
+      scenario.recover();
+      if (scenario.leaving.millisToLastCommand(cutNanos)
+          > Math.max(lastSentMillis, latestAllowedMillis)) {
+        violations.add("sent to a server that is not in the new list");
       }
-      if (!scene.others.isEmpty()) {
-        wrong.add("answered " + scene.others);
+      if (!scenario.otherAnswers.isEmpty()) {
+        violations.add("answered " + scenario.otherAnswers);
       }
       System.out.println(
-          "%s: %d calls, last send after %d ms, %d served, %d turned away"
+          "%s: %d calls, last send after %d ms, %d served, %d refused"
               .formatted(
                   fault,
-                  scene.discovery.calls(),
-                  last,
-                  scene.servedAt.size(),
-                  scene.turnedAwayAt.size()));
-      return wrong.isEmpty() ? "" : fault + ": " + wrong;
+                  scenario.discovery.calls(),
+                  lastSentMillis,
+                  scenario.servedAt.size(),
+                  scenario.refusedAt.size()));
+      return violations.isEmpty() ? "" : fault + ": " + violations;
     } catch (Exception | AssertionError e) {
-      return fault + ": " + e + log(fault.name());
+      return fault + ": " + e + readLog(fault.name());
     }
   }
 
-  private String log(String name) {
+  private String readLog(String name) {
     try {
       return ", the node: " + Files.readString(folder.resolve(name + ".log"));
     } catch (IOException e) {
@@ -187,82 +193,82 @@
     }
   }
 
-  /** Ways in which a discovery that is there gives no list. */
+  /** Ways in which a reachable discovery fails to return a list. */
   private enum Fault {
-    CROWDED(ScriptedDiscovery::crowded),
-    TURNS_AWAY(ScriptedDiscovery::turnsAway),
-    BREAKS_OFF(ScriptedDiscovery::breaksOff),
+    OVERLOADED(ScriptedDiscovery::overloaded),
+    REJECTS(ScriptedDiscovery::rejects),
+    STALLS_MIDWAY(ScriptedDiscovery::stallsMidway),
     RESETS_MIDWAY(ScriptedDiscovery::resetsMidway),
-    DRIPS(ScriptedDiscovery::drips),
+    TRICKLES(ScriptedDiscovery::trickles),
     SILENT(ScriptedDiscovery::silent),
-    BEATS_ALONE(ScriptedDiscovery::beatsAlone),
-    NONSENSE(ScriptedDiscovery::nonsense),
-    FULL(
+    HEARTBEATS_ONLY(ScriptedDiscovery::heartbeatsOnly),
+    MALFORMED(ScriptedDiscovery::malformed),
+    BACKLOG_FULL(
         discovery -> {
           discovery.resetAll();
-          discovery.full();
+          discovery.fillBacklog();
         });
 
-    final Step step;
+    final FaultAction action;
 
-    Fault(Step step) {
-      this.step = step;
+    Fault(FaultAction action) {
+      this.action = action;
     }
 
-    Fault(Conducted conducted) {
+    Fault(FaultyBehaviour behaviour) {
       this(
           discovery -> {
-            discovery.conduct(call -> conducted.answer(discovery, call));
+            discovery.setBehaviour(call -> behaviour.answer(discovery, call));
             discovery.resetAll();
           });
     }
   }
 
-  private interface Step {
+  private interface FaultAction {
     void begin(ScriptedDiscovery discovery) throws IOException;
   }
 
-  private interface Conducted {
+  private interface FaultyBehaviour {
     void answer(ScriptedDiscovery discovery, ScriptedDiscovery.Call call)
         throws IOException, InterruptedException;
   }
 
   @Test
-  void nothingGoesToAServerThatHasLeftWhileNoListCanBeHad() throws Exception {
-    ExecutorService together = Executors.newCachedThreadPool();
+  void sendsNothingToRemovedServerWhileDiscoveryFails() throws Exception {
+    ExecutorService executor = Executors.newCachedThreadPool();
     try {
-      List<Future<String>> plays = new ArrayList<>();
+      List<Future<String>> runs = new ArrayList<>();
       for (Fault fault : Fault.values()) {
-        plays.add(together.submit(() -> play(fault)));
+        runs.add(executor.submit(() -> runFault(fault)));
       }
-      List<String> wrong = new ArrayList<>();
-      for (Future<String> play : plays) {
-        wrong.add(play.get(2, TimeUnit.MINUTES));
+      List<String> violations = new ArrayList<>();
+      for (Future<String> run : runs) {
+        violations.add(run.get(2, TimeUnit.MINUTES));
       }
-      wrong.removeIf(String::isEmpty);
-      assertThat(wrong).isEmpty();
+      violations.removeIf(String::isEmpty);
+      assertThat(violations).isEmpty();
     } finally {
-      together.shutdownNow();
+      executor.shutdownNow();
     }
   }
 
-  /** While it can't be reached it has nothing to tell, and nothing counts as told. */
+  /** While discovery is unreachable the list does not change, and no change takes effect. */
   @Test
-  void anOutageOfDiscoveryTakesNoNodeOutOfService() throws Exception {
-    try (Scene scene = new Scene("outage")) {
-      scene.discovery.list(Peers.list(42, scene.stays.server));
-      long down = System.nanoTime();
-      scene.discovery.down();
-      await(down, WATCHED_MILLIS);
-      assertThat(scene.turnedAwayAt).isEmpty();
-      long up = System.nanoTime();
-      scene.discovery.up();
-      Peers.await("the new list", () -> scene.node.logged("discovery: version 42"));
-      assertThat(System.nanoTime() - up).isLessThan(TOLD_MILLIS * 1_000_000L);
-      int before = scene.servedAt.size();
-      Peers.await("requests are served", () -> scene.servedAt.size() > before + 20);
-      assertThat(scene.turnedAwayAt).isEmpty();
-      assertThat(scene.others).isEmpty();
+  void keepsServingDuringDiscoveryOutage() throws Exception {
+    try (Scenario scenario = new Scenario("outage")) {
+      scenario.discovery.setList(Peers.list(42, scenario.staying.server));
+      long downNanos = System.nanoTime();
+      scenario.discovery.goDown();
+      awaitElapsed(downNanos, FAULT_MILLIS);
+      assertThat(scenario.refusedAt).isEmpty();
+      long upNanos = System.nanoTime();
+      scenario.discovery.comeUp();
+      Peers.await("the new list", () -> scenario.node.logged("discovery: version 42"));
+      assertThat(System.nanoTime() - upNanos).isLessThan(CHANGE_EFFECTIVE_MILLIS * 1_000_000L);
+      int before = scenario.servedAt.size();
+      Peers.await("requests are served", () -> scenario.servedAt.size() > before + 20);
+      assertThat(scenario.refusedAt).isEmpty();
+      assertThat(scenario.otherAnswers).isEmpty();
     }
   }
 }
--- a/src/test/java/beamspread/node/StalledNodeTest.java
+++ b/src/test/java/beamspread/node/StalledNodeTest.java
@@ -228,7 +228,7 @@
   @CsvSource({"300", "1000", "2000"})
   void aLoopThatIsHeldLosesNothingThatItCouldSave(long millis) throws Exception {
     try (Peers.Server server = server();
-        Peers.Rig rig = new Peers.Rig(ClientConnections.Limits.usual(200), 512, server)) {
+        Peers.Rig rig = new Peers.Rig(ClientConnections.Limits.defaults(200), 512, server)) {
       warm(rig.address);
       for (int i = 0; i < 60; i++) {
         ask(rig.address, "h", 1000 + random.nextInt(2000));
@@ -254,7 +254,7 @@
   @Test
   void whoLeavesDuringTheStallIsNotServed() throws Exception {
     try (Peers.Server server = server();
-        Peers.Rig rig = new Peers.Rig(ClientConnections.Limits.usual(50), server)) {
+        Peers.Rig rig = new Peers.Rig(ClientConnections.Limits.defaults(50), server)) {
       Peers.Client stays = rig.client();
       Peers.Client leaves = rig.client();
       assertThat(stays.send("mn\r\n").line()).isEqualTo("MN");
--- a/src/test/java/beamspread/node/TroubledServersTest.java
+++ b/src/test/java/beamspread/node/TroubledServersTest.java
@@ -18,7 +18,7 @@
 /** Cache servers that run, and have a trouble of their own that is not the others'. */
 @ExtendWith(LeakCheck.class)
 class TroubledServersTest {
-  private static final ClientConnections.Limits CALM = ClientConnections.Limits.usual(150);
+  private static final ClientConnections.Limits CALM = ClientConnections.Limits.defaults(150);
 
   private static boolean reached(String id, Peers.Server... servers) {
     return Stream.of(servers)
--- a/src/test/java/beamspread/node/VariantNodeTest.java
+++ b/src/test/java/beamspread/node/VariantNodeTest.java
@@ -8,8 +8,8 @@
 import beamspread.model.Settings;
 import beamspread.node.client.ClientConnections;
 import beamspread.node.discovery.MemberList;
+import beamspread.node.variants.VariantConfig;
 import beamspread.node.variants.VariantFileReader;
-import beamspread.node.variants.VariantPart;
 import beamspread.sim.WireException;
 import beamspread.variants.VariantTable;
 import beamspread.variants.VariantVersion;
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A node under a table of variants: what its cache servers are asked for. */
+/** Keys that a node with a table of variants sends to its cache servers. */
 @ExtendWith(LeakCheck.class)
 class VariantNodeTest {
   private static final String RULES =
@@ -41,8 +41,8 @@
               Peers.service("read", Settings.Effect.SAFE),
               Peers.service("put", Settings.Effect.UNSAFE)));
 
-  /** What an agent answers that has this table, and for how long. */
-  private static String told(VariantTable table, long validMillis) {
+  /** Returns the answer of an agent with this table. */
+  private static String tableAnswer(VariantTable table, long validMillis) {
     String json =
         "{\"token\":%d,\"number\":%d,\"valid_ms\":%d,\"digest\":\"%s\",\"text\":\"%s\"}"
             .formatted(
@@ -61,7 +61,10 @@
 
   private static Peers.Server agent(VariantTable table, long validMillis) throws IOException {
     return new Peers.Server(
-        line -> line.startsWith("POST /v1/variants/main/pull ") ? told(table, validMillis) : null);
+        line ->
+            line.startsWith("POST /v1/variants/main/pull ")
+                ? tableAnswer(table, validMillis)
+                : null);
   }
 
   private static Node node(
@@ -69,7 +72,7 @@
       throws WireException {
     ServerEntry entry =
         new ServerEntry(
-            MemberList.number("s-" + server.address().getPort()),
+            MemberList.serverNumber("s-" + server.address().getPort()),
             "a",
             "box",
             0,
@@ -92,8 +95,8 @@
             null,
             null,
             null,
-            new VariantPart(VariantFileReader.read(rules), agent.address(), null)),
-        ClientConnections.Limits.usual(16),
+            new VariantConfig(VariantFileReader.read(rules), agent.address(), null)),
+        ClientConnections.Limits.defaults(16),
         Transport.TCP);
   }
 
@@ -101,7 +104,7 @@
     return line.split(" ")[1];
   }
 
-  private static boolean holds(Node node) {
+  private static boolean hasTable(Node node) {
     return node.variants() != null && node.variants().held().inForce(System.nanoTime()) != null;
   }
 
@@ -113,14 +116,14 @@
   }
 
   @Test
-  void aVariantIsAskedForUnderItsCanonicalKeyWhileTheTableHolds() throws Exception {
+  void rewritesKeysWhileTableIsValid() throws Exception {
     try (Peers.Server server = new Peers.Server(Peers::good);
         Peers.Server discovery = Peers.discovery(1, server);
         Peers.Server agent = agent(table("phone", "tablet"), 1000)) {
       Node node = node(discovery, server, agent, RULES.formatted("1", 65536, "60"));
       InetSocketAddress address = (InetSocketAddress) node.start();
       try (Peers.Client client = new Peers.Client(address)) {
-        Peers.await("a table holds", () -> holds(node));
+        Peers.await("a table is in force", () -> hasTable(node));
         read(client, "page/tablet/1", "1", "hello");
         read(client, "page/phone/1", "2", "hello");
         read(client, "page/watch/1", "3", "hello");
@@ -134,7 +137,7 @@
         String deadline = server.lines.get(0).replaceAll(".*,d=(\\d+),x=y", "$1");
         assertThat(Integer.parseInt(deadline)).isBetween(1, 5000);
         agent.script = line -> null;
-        Peers.await("it holds no more", () -> !holds(node));
+        Peers.await("the table has expired", () -> !hasTable(node));
         read(client, "page/tablet/1", "5", "hello");
         assertThat(server.lines.get(4)).startsWith("mg page/tablet/1 ");
       } finally {
@@ -144,14 +147,14 @@
   }
 
   @Test
-  void aWriteSplitsItsFamily() throws Exception {
+  void writeSplitsFamily() throws Exception {
     try (Peers.Server server = new Peers.Server(Peers::good);
         Peers.Server discovery = Peers.discovery(1, server);
         Peers.Server agent = agent(table("phone", "tablet"), 60_000)) {
       Node node = node(discovery, server, agent, RULES.formatted("20", 65536, "60"));
       InetSocketAddress address = (InetSocketAddress) node.start();
       try (Peers.Client client = new Peers.Client(address)) {
-        Peers.await("a table holds", () -> holds(node));
+        Peers.await("a table is in force", () -> hasTable(node));
         client.send("ms page/watch/9 5 O1 Pc=put,d=5000\r\nworld\r\n");
         assertThat(client.line()).isEqualTo("HD O1 c77");
         read(client, "page/tablet/1", "2", "hello");
@@ -164,7 +167,7 @@
 
   @ParameterizedTest
   @CsvSource({"5", "200000"})
-  void valuesThatDifferSplitTheirFamilyHoweverLongTheyAre(int length) throws Exception {
+  void differingValuesOfAnyLengthSplitFamily(int length) throws Exception {
     String same = "a".repeat(length);
     String other = "a".repeat(length - 1) + "b";
     try (Peers.Server server =
@@ -180,12 +183,12 @@
       Node node = node(discovery, server, agent, RULES.formatted("20", 2, "0.05"));
       InetSocketAddress address = (InetSocketAddress) node.start();
       try (Peers.Client client = new Peers.Client(address)) {
-        Peers.await("a table holds", () -> holds(node));
-        int asked = 0;
+        Peers.await("a table is in force", () -> hasTable(node));
+        int attempts = 0;
         while (node.variants().counts().differed == 0) {
-          assertThat(asked++).isLessThan(20_000);
+          assertThat(attempts++).isLessThan(20_000);
           for (String key : List.of("page/phone/1", "page/tablet/1")) {
-            client.send("mg " + key + " v O" + key.hashCode() + asked + " Pc=read,d=5000\r\n");
+            client.send("mg " + key + " v O" + key.hashCode() + attempts + " Pc=read,d=5000\r\n");
             assertThat(client.line()).startsWith("VA " + length);
             assertThat(client.line()).hasSize(length);
           }
@@ -208,11 +211,11 @@
         "{\"fleet\":\"main\",\"rules\":[{\"prefix\":\"p/\",\"separator\":\"/\",\"field\":0,\"classes\":[\"a\",\"b\"],\"requests\":[\"read\"],\"max_age_s\":1}]}|rules[0].max_age_s",
         "{\"fleet\":\"main\",\"rules\":[{\"prefix\":\"p/\",\"separator\":\"/\",\"field\":0,\"classes\":[\"a\"],\"requests\":[\"read\"],\"max_age_s\":60}]}|rules[0].classes must be 2",
         "{\"fleet\":\"main\",\"rules\":[{\"prefix\":\"p/\",\"separator\":\"/\",\"field\":0,\"classes\":[\"a\",\"b\"],\"requests\":[\"read\"],\"max_age_s\":60,\"same\":[\"a+c\"]}]}|no class 'c'",
-        "{\"fleet\":\"main\",\"rules\":[{\"prefix\":\"p/\",\"separator\":\"/\",\"field\":0,\"classes\":[\"a\",\"b\"],\"requests\":[\"read\"],\"max_age_s\":60,\"same\":[\"a+b\",\"b+a\"]}]}|rules[0].same: 'b' stands twice",
+        "{\"fleet\":\"main\",\"rules\":[{\"prefix\":\"p/\",\"separator\":\"/\",\"field\":0,\"classes\":[\"a\",\"b\"],\"requests\":[\"read\"],\"max_age_s\":60,\"same\":[\"a+b\",\"b+a\"]}]}|rules[0].same: 'b' is listed twice",
       })
-  void aWrongFileIsRefusedWithThePlace(String file, String place) {
+  void rejectsInvalidFileNamingTheKey(String file, String expectedMessage) {
     assertThatThrownBy(() -> VariantFileReader.read(file))
         .isInstanceOf(WireException.class)
-        .hasMessageContaining(place);
+        .hasMessageContaining(expectedMessage);
   }
 }
--- a/src/test/java/beamspread/node/client/ClientConnectionsTest.java
+++ b/src/test/java/beamspread/node/client/ClientConnectionsTest.java
@@ -12,26 +12,28 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** How long clients' connections are kept between requests. */
+/** The idle timeout of client connections depends on how many are open. */
 class ClientConnectionsTest {
-  private static final int MOST = 210;
-  private static final ClientConnections.Limits LIMITS = ClientConnections.Limits.usual(MOST);
+  private static final int MAX_CONNECTIONS = 210;
+  private static final ClientConnections.Limits LIMITS =
+      ClientConnections.Limits.defaults(MAX_CONNECTIONS);
 
-  /** Nobody asks for anything here. */
-  private static final Requests SILENT =
-      new Requests() {
+  /** Fails on any request, since these tests send none. */
+  private static final RequestHandler NO_REQUESTS =
+      new RequestHandler() {
         @Override
-        public Taken request(MetaCommand command, ClientHandler.Slot slot, long unreadNanos) {
-          throw new AssertionError("nobody asks");
+        public AcceptedRequest accept(
+            MetaCommand command, ClientHandler.AnswerSlot slot, long unreadNanos) {
+          throw new AssertionError("unexpected request");
         }
 
         @Override
-        public void refused(String serviceClass) {
-          throw new AssertionError("nobody asks");
+        public void requestRefused(String serviceClass) {
+          throw new AssertionError("unexpected request");
         }
 
         @Override
-        public void report(String where, Throwable cause) {
+        public void reportError(String where, Throwable cause) {
           throw new AssertionError(where, cause);
         }
       };
@@ -41,49 +43,50 @@
   private final List<EmbeddedChannel> open = new ArrayList<>();
 
   private void open(int count) {
-    while (connections.count() < count) {
+    while (connections.openCount() < count) {
       MetaCommand.Decoder decoder = new MetaCommand.Decoder(new MemoryBudget(0), List.of());
-      open.add(new EmbeddedChannel(decoder, new ClientHandler(SILENT, connections, decoder)));
+      open.add(new EmbeddedChannel(decoder, new ClientHandler(NO_REQUESTS, connections, decoder)));
     }
   }
 
   @AfterEach
   void close() {
     open.forEach(EmbeddedChannel::close);
-    assertEquals(0, connections.count());
+    assertEquals(0, connections.openCount());
   }
 
   @Test
-  void whileFewAreOpenNoneClosesEarly() {
-    open(MOST / 3);
-    assertEquals(LIMITS.idleNanos(), connections.restNanos());
+  void keepsFullIdleTimeoutWhileFewConnectionsAreOpen() {
+    open(MAX_CONNECTIONS / 3);
+    assertEquals(LIMITS.idleTimeoutNanos(), connections.idleTimeoutNanos());
   }
 
   /**
-   * Half of them are what a large tier holds on a usual day. With a rest of a tenth of a second
-   * there, some thirty closes in twenty seconds crossed a request.
+   * A large tier normally has half of the connections open. With an idle timeout of 0.1 s at that
+   * point, some thirty closes in twenty seconds crossed a request.
    */
   @Test
-  void whatIsHalfFullKeepsThemForLongerThanClientsPause() {
-    open(MOST / 2);
-    assertTrue(connections.restNanos() >= 900_000_000L, connections.restNanos() + " ns");
+  void idleTimeoutAtHalfCapacityExceedsPausesOfClients() {
+    open(MAX_CONNECTIONS / 2);
+    assertTrue(
+        connections.idleTimeoutNanos() >= 900_000_000L, connections.idleTimeoutNanos() + " ns");
   }
 
   @Test
-  void theFullerTheShorterDownToTheShortest() {
-    long before = Long.MAX_VALUE;
-    for (int count = 10; count <= MOST; count += 10) {
+  void idleTimeoutShrinksToMinimumAsConnectionsOpen() {
+    long previousNanos = Long.MAX_VALUE;
+    for (int count = 10; count <= MAX_CONNECTIONS; count += 10) {
       open(count);
-      assertTrue(connections.restNanos() <= before, count + " open");
-      before = connections.restNanos();
+      assertTrue(connections.idleTimeoutNanos() <= previousNanos, count + " open");
+      previousNanos = connections.idleTimeoutNanos();
     }
-    assertEquals(LIMITS.crowdedNanos(), before, 1);
+    assertEquals(LIMITS.crowdedIdleTimeoutNanos(), previousNanos, 1);
   }
 
   @Test
-  void whatOtherProcessesHoldCountsAsFull() {
-    open(MOST / 3);
-    connections.share(MOST / 2);
-    assertEquals(LIMITS.crowdedNanos(), connections.restNanos(), 1);
+  void connectionsOfOtherProcessesShortenIdleTimeout() {
+    open(MAX_CONNECTIONS / 3);
+    connections.setHeldByOtherProcesses(MAX_CONNECTIONS / 2);
+    assertEquals(LIMITS.crowdedIdleTimeoutNanos(), connections.idleTimeoutNanos(), 1);
   }
 }
--- a/src/test/java/beamspread/node/discovery/CallFailureTest.java
+++ b/src/test/java/beamspread/node/discovery/CallFailureTest.java
@@ -6,41 +6,41 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a failed call says of discovery. */
+/** What a failed call shows about discovery. */
 class CallFailureTest {
   @ParameterizedTest
   @CsvSource({
-    // Nothing listens: it can't be reached.
+    // Nothing listens: unreachable.
     "NOT_THERE, 1, NONE, UNREACHABLE, UNREACHABLE",
-    // A connect that hangs may be a full queue, with others before it.
+    // A connect timeout may mean a full accept queue, so that discovery still serves others.
     "NO_CONNECTION, 800, NONE, REACHED, UNREACHABLE",
-    // What this node lacks tells nothing of discovery.
+    // A call that this node could not start shows nothing about discovery.
     "NOT_MADE, 1, NONE, REACHED, ",
-    // Reset at once it is down; after a wait it had too much to do.
+    // An immediate reset means that discovery is down; a later one that it is overloaded.
     "CONNECTION_LOST, 5, NONE, UNREACHABLE, UNREACHABLE",
     "CONNECTION_LOST, 2000, NONE, REACHED, REACHED",
     "ENDED, 5, NONE, UNREACHABLE, UNREACHABLE",
-    "CONNECTION_LOST, 5, BEGUN, REACHED, REACHED",
-    // Any answer shows that it works.
-    "STATUS, 30, BEGUN, REACHED, REACHED",
-    "STATUS, 2000, BEGUN, REACHED, REACHED",
-    "MALFORMED, 5, BEGUN, REACHED, REACHED",
-    "SLOW, 4500, BEGUN, REACHED, REACHED",
-    "SILENT, 1500, BEGUN, REACHED, REACHED",
-    // An agent that pushes is silent while it has nothing to tell.
+    "CONNECTION_LOST, 5, ANSWER_STARTED, REACHED, REACHED",
+    // Any answer shows that discovery runs.
+    "STATUS, 30, ANSWER_STARTED, REACHED, REACHED",
+    "STATUS, 2000, ANSWER_STARTED, REACHED, REACHED",
+    "MALFORMED, 5, ANSWER_STARTED, REACHED, REACHED",
+    "SLOW, 4500, ANSWER_STARTED, REACHED, REACHED",
+    "SILENT, 1500, ANSWER_STARTED, REACHED, REACHED",
+    // An agent that pushes the list sends nothing while it has none.
     "SILENT, 2500, NONE, REACHED, UNREACHABLE",
-    // A watch that stood and broke says nothing of what comes after it.
-    "CONNECTION_LOST, 9000, TOLD, , ",
-    "SILENT, 9000, TOLD, , "
+    // An established watch that breaks shows nothing about the next call.
+    "CONNECTION_LOST, 9000, LIST_RECEIVED, , ",
+    "SILENT, 9000, LIST_RECEIVED, , "
   })
-  void saysWhetherDiscoveryCouldBeReached(
+  void derivesEvidenceFromFailure(
       CallFailure.Kind kind,
       long millis,
       CallFailure.Progress progress,
-      ListEvidence asked,
+      ListEvidence onDemand,
       ListEvidence pushed) {
     CallFailure failure = new CallFailure(kind, "", 1, millis, progress);
-    assertThat(failure.evidence(false)).isEqualTo(asked);
+    assertThat(failure.evidence(false)).isEqualTo(onDemand);
     assertThat(failure.evidence(true)).isEqualTo(pushed);
   }
 }
--- a/src/test/java/beamspread/node/handover/SharedFolderTest.java
+++ b/src/test/java/beamspread/node/handover/SharedFolderTest.java
@@ -15,66 +15,69 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What processes of one node see of one another, also of one that was killed. */
+/** State that processes of one node share through a folder, also after one was killed. */
 class SharedFolderTest {
-  private static final SharedFolder.Shown STARTS =
-      new SharedFolder.Shown(SharedFolder.Phase.STARTS, 0, 0, 0);
+  private static final SharedFolder.ProcessStatus STARTING =
+      new SharedFolder.ProcessStatus(SharedFolder.Phase.STARTS, 0, 0, 0);
 
   @TempDir Path temporary;
 
   @Test
-  void eachSeesWhatTheOtherHasTakenOutAndWhetherItTakesClients() throws IOException {
+  void processesSeeEachOthersDetachedServersAndPhase() throws IOException {
     Path folder = temporary.resolve("node");
-    try (SharedFolder old = SharedFolder.open(folder)) {
-      assertThat(old.look()).isEqualTo(new SharedFolder.Sight(Set.of(), List.of()));
-      old.detach(-7);
-      old.detach(-7);
-      try (SharedFolder young = SharedFolder.open(folder)) {
-        assertThat(young.look()).isEqualTo(new SharedFolder.Sight(Set.of(-7L), List.of(STARTS)));
-        SharedFolder.Shown takes = new SharedFolder.Shown(SharedFolder.Phase.TAKES, 7, 300, 5);
-        young.show(takes);
-        assertThat(old.look()).isEqualTo(new SharedFolder.Sight(Set.of(-7L), List.of(takes)));
-        assertThat(old.look().othersTake()).isTrue();
-        young.show(new SharedFolder.Shown(SharedFolder.Phase.ENDS, 7, 300, 5));
-        assertThat(old.look().othersTake()).isFalse();
-        young.detach(8);
-        young.attach(-7);
-        young.attach(-7);
+    try (SharedFolder predecessor = SharedFolder.open(folder)) {
+      assertThat(predecessor.scan()).isEqualTo(new SharedFolder.Snapshot(Set.of(), List.of()));
+      predecessor.detach(-7);
+      predecessor.detach(-7);
+      try (SharedFolder successor = SharedFolder.open(folder)) {
+        assertThat(successor.scan())
+            .isEqualTo(new SharedFolder.Snapshot(Set.of(-7L), List.of(STARTING)));
+        SharedFolder.ProcessStatus accepting =
+            new SharedFolder.ProcessStatus(SharedFolder.Phase.TAKES, 7, 300, 5);
+        successor.publish(accepting);
+        assertThat(predecessor.scan())
+            .isEqualTo(new SharedFolder.Snapshot(Set.of(-7L), List.of(accepting)));
+        assertThat(predecessor.scan().otherAcceptsClients()).isTrue();
+        successor.publish(new SharedFolder.ProcessStatus(SharedFolder.Phase.ENDS, 7, 300, 5));
+        assertThat(predecessor.scan().otherAcceptsClients()).isFalse();
+        successor.detach(8);
+        successor.attach(-7);
+        successor.attach(-7);
       }
-      assertThat(old.look()).isEqualTo(new SharedFolder.Sight(Set.of(8L), List.of()));
+      assertThat(predecessor.scan()).isEqualTo(new SharedFolder.Snapshot(Set.of(8L), List.of()));
     }
-    try (SharedFolder next = SharedFolder.open(folder)) {
-      assertThat(next.look()).isEqualTo(new SharedFolder.Sight(Set.of(8L), List.of()));
+    try (SharedFolder reopened = SharedFolder.open(folder)) {
+      assertThat(reopened.scan()).isEqualTo(new SharedFolder.Snapshot(Set.of(8L), List.of()));
     }
   }
 
   @Test
-  void whatAKilledProcessLeftIsClearedAwayAndForeignFilesAreNot() throws IOException {
+  void deletesFilesOfKilledProcessesButNotForeignFiles() throws IOException {
     Path folder = temporary.resolve("node");
-    try (SharedFolder here = SharedFolder.open(folder)) {
-      // Nobody holds its lock, as after a kill.
-      Path dead = Files.write(folder.resolve("process-1-1"), new byte[] {1});
+    try (SharedFolder shared = SharedFolder.open(folder)) {
+      // The file is not locked, as after its process was killed.
+      Path killed = Files.write(folder.resolve("process-1-1"), new byte[] {1});
       Path foreign = Files.createFile(folder.resolve("detached-zz"));
-      assertThat(here.look()).isEqualTo(new SharedFolder.Sight(Set.of(), List.of()));
-      assertThat(dead).doesNotExist();
+      assertThat(shared.scan()).isEqualTo(new SharedFolder.Snapshot(Set.of(), List.of()));
+      assertThat(killed).doesNotExist();
       assertThat(foreign).exists();
     }
   }
 
   @Test
-  void aNoteIsReadWholeWhileItIsFreshAndNonsenseIsNone() throws IOException {
+  void readsFreshLearntStateAndIgnoresStaleOrMalformedOne() throws IOException {
     Learnt learnt = new Learnt(7.5, 180, 300, Map.of(-5L, 0.25, 6L, 1.0));
-    byte[] note = LearntNote.write(1000, learnt);
+    byte[] bytes = LearntJson.write(1000, learnt);
     try (SharedFolder folder = SharedFolder.open(temporary.resolve("node"))) {
-      assertThat(folder.learnt()).isNull();
-      folder.leaveLearnt(note);
-      folder.leaveLearnt(note);
-      assertThat(LearntNote.read(1004, folder.learnt())).isEqualTo(learnt);
+      assertThat(folder.readLearnt()).isNull();
+      folder.writeLearnt(bytes);
+      folder.writeLearnt(bytes);
+      assertThat(LearntJson.read(1004, folder.readLearnt())).isEqualTo(learnt);
     }
-    assertThat(LearntNote.read(1006, note)).as("too old").isNull();
-    assertThat(LearntNote.read(990, note)).as("from a clock that went back").isNull();
-    String text = new String(note, StandardCharsets.UTF_8);
-    for (String bad :
+    assertThat(LearntJson.read(1006, bytes)).as("too old").isNull();
+    assertThat(LearntJson.read(990, bytes)).as("written before the clock was set back").isNull();
+    String text = new String(bytes, StandardCharsets.UTF_8);
+    for (String malformed :
         List.of(
             text.substring(0, text.length() / 2),
             text.replace("\"version\":1", "\"version\":2"),
@@ -82,14 +85,16 @@
             text.replace("180", "1e300"),
             text.replace("\"6\"", "\"zz\""),
             "")) {
-      assertThat(LearntNote.read(1000, bad.getBytes(StandardCharsets.UTF_8))).as(bad).isNull();
+      assertThat(LearntJson.read(1000, malformed.getBytes(StandardCharsets.UTF_8)))
+          .as(malformed)
+          .isNull();
     }
-    assertThat(LearntNote.write(1, new Learnt(1, Double.POSITIVE_INFINITY, 1, Map.of()))).isNull();
-    assertThat(LearntNote.write(1, new Learnt(0, 1, 1, Map.of()))).isNull();
+    assertThat(LearntJson.write(1, new Learnt(1, Double.POSITIVE_INFINITY, 1, Map.of()))).isNull();
+    assertThat(LearntJson.write(1, new Learnt(0, 1, 1, Map.of()))).isNull();
   }
 
   @Test
-  void aFolderThatOthersMayWriteToIsNotUsed() throws IOException {
+  void rejectsFolderThatOtherUsersCanWriteTo() throws IOException {
     Path open = Files.createDirectory(temporary.resolve("open"));
     Files.setPosixFilePermissions(open, PosixFilePermissions.fromString("rwxrwxrwx"));
     assertThatThrownBy(() -> SharedFolder.open(open)).hasMessageContaining("mode 700");
--- a/src/test/java/beamspread/node/mgmt/MgmtServerTest.java
+++ b/src/test/java/beamspread/node/mgmt/MgmtServerTest.java
@@ -20,10 +20,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.extension.ExtendWith;
 
-/** Callers who say nothing, or half a call, and stay. */
+/** Callers that send nothing or part of a call and keep their connection open. */
 @ExtendWith(LeakCheck.class)
 class MgmtServerTest {
-  private static final int PATIENCE_MILLIS = 20_000;
+  private static final int SOCKET_TIMEOUT_MILLIS = 20_000;
 
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -37,7 +37,7 @@
     group.shutdownGracefully(30, 1000, TimeUnit.MILLISECONDS).syncUninterruptibly();
   }
 
-  private InetSocketAddress listen(long patienceMillis) throws Exception {
+  private InetSocketAddress listen(long callTimeoutMillis) throws Exception {
     MgmtCalls calls =
         new MgmtCalls() {
           @Override
@@ -46,7 +46,7 @@
           }
 
           @Override
-          public String figures() {
+          public String metrics() {
             return "{}";
           }
 
@@ -67,7 +67,7 @@
                 PooledByteBufAllocator.DEFAULT,
                 new InetSocketAddress("127.0.0.1", 0),
                 null,
-                patienceMillis,
+                callTimeoutMillis,
                 calls)
             .address();
   }
@@ -75,18 +75,18 @@
   private Socket connect(InetSocketAddress address, String text) throws IOException {
     Socket socket = new Socket();
     sockets.add(socket);
-    socket.connect(address, PATIENCE_MILLIS);
-    socket.setSoTimeout(PATIENCE_MILLIS);
+    socket.connect(address, SOCKET_TIMEOUT_MILLIS);
+    socket.setSoTimeout(SOCKET_TIMEOUT_MILLIS);
     socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     return socket;
   }
 
   @Test
-  void theOldestGivesWayToTheNext() throws Exception {
-    // Far longer than this test: only giving way ends a connection here.
+  void newConnectionEvictsOldest() throws Exception {
+    // The timeout is far longer than this test, so that only eviction closes a connection.
     InetSocketAddress address = listen(600_000);
     Socket oldest = connect(address, "GET /_va");
-    for (int i = 0; i < MgmtServer.CONNECTIONS; i++) {
+    for (int i = 0; i < MgmtServer.MAX_CONNECTIONS; i++) {
       connect(address, "");
     }
     assertThat(oldest.getInputStream().read()).isEqualTo(-1);
@@ -96,12 +96,12 @@
   }
 
   @Test
-  void whoTakesTooLongIsLetGo() throws Exception {
+  void closesConnectionAfterTimeout() throws Exception {
     assertThat(connect(listen(50), "GET /_va").getInputStream().read()).isEqualTo(-1);
   }
 
   @Test
-  void halfACallIsFinishedLater() throws Exception {
+  void answersCallThatArrivesInTwoParts() throws Exception {
     Socket call = connect(listen(600_000), "GET /_ready HT");
     call.getOutputStream().write("TP/1.1\r\nHost: n\r\n\r\n".getBytes(StandardCharsets.UTF_8));
     assertThat(new String(call.getInputStream().readAllBytes(), StandardCharsets.UTF_8))
