--- a/src/bench/java/beamspread/pool/PoolsBenchmark.java
+++ b/src/bench/java/beamspread/pool/PoolsBenchmark.java
@@ -15,7 +15,10 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** What the pools' decisions about one attempt cost, with the compiler that a node runs on. */
+/**
+ * Measures the cost of the pools' decisions about one attempt, with the JIT compiler settings of a
+ * node.
+ */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -26,14 +29,14 @@
   private static final long MS = 1_000_000L;
   private static final int SERVERS = 34;
 
-  /** Attempts that are under way at each server. */
+  /** Attempts in flight at each server. */
   @Param({"1", "6", "24"})
-  private int busy;
+  private int attemptsPerServer;
 
   private final Object attempt = new Object();
   private final Random random = new Random(1);
-  private final ArrayDeque<Long> opening = new ArrayDeque<>();
-  private final ArrayDeque<Long> written = new ArrayDeque<>();
+  private final ArrayDeque<Long> openingConnections = new ArrayDeque<>();
+  private final ArrayDeque<Long> inFlightConnections = new ArrayDeque<>();
   private Pools<Object> pools;
   private long now = 1_000_000 * MS;
 
@@ -43,66 +46,68 @@
         new PoolSettings(6, 2, 6, 32, 400, 6, 64, 0, 6, 30_000 * MS, 0, 400 * MS, 2000 * MS);
     pools = new Pools<>(settings, random::nextDouble, this);
     for (int server = 0; server < SERVERS; server++) {
-      pools.listed(server, false, Long.MIN_VALUE);
-      for (int i = 0; i < busy; i++) {
+      pools.serverListed(server, false, Long.MIN_VALUE);
+      for (int i = 0; i < attemptsPerServer; i++) {
         pools.send(now, server, attempt, false);
-        comeUp();
+        completeOpenings();
       }
     }
   }
 
-  private void comeUp() {
-    for (Long link = opening.poll(); link != null; link = opening.poll()) {
-      pools.opened(now, link);
+  private void completeOpenings() {
+    for (Long connectionId = openingConnections.poll();
+        connectionId != null;
+        connectionId = openingConnections.poll()) {
+      pools.connectionOpened(now, connectionId);
     }
   }
 
-  /** One attempt is sent, and the one that has waited longest is answered. */
+  /** Sends one attempt and answers the oldest one. */
   @Benchmark
   public int sendAndAnswer() {
     now += 50_000;
     pools.send(now, random.nextInt(SERVERS), attempt, random.nextInt(10) == 0);
-    comeUp();
-    Long link = written.poll();
-    if (link != null) {
-      pools.heard(now, link);
-      pools.answered(now, link, now - MS, true, false, false);
-      pools.readDone(now, link, false);
+    completeOpenings();
+    Long connectionId = inFlightConnections.poll();
+    if (connectionId != null) {
+      pools.dataReceived(now, connectionId);
+      pools.attemptAnswered(now, connectionId, now - MS, true, false, false);
+      pools.readCompleted(now, connectionId, false);
     }
-    return pools.sockets();
+    return pools.socketCount();
   }
 
-  /** A sweep over all servers, ten a second in a node. */
+  /** Runs one sweep over all servers; a node runs ten a second. */
   @Benchmark
   public int tick() {
     now += 1000;
     pools.tick(now);
-    return pools.sockets();
+    return pools.socketCount();
   }
 
   @Override
-  public void open(long server, long link) {
-    opening.add(link);
+  public void open(long server, long connectionId) {
+    openingConnections.add(connectionId);
   }
 
   @Override
-  public boolean write(long link, Object one) {
-    written.add(link);
+  public boolean write(long connectionId, Object ignored) {
+    inFlightConnections.add(connectionId);
     return true;
   }
 
   @Override
-  public void close(long link) {
-    throw new IllegalStateException("nothing falls idle here");
+  public void close(long connectionId) {
+    throw new IllegalStateException("no connection becomes idle in this benchmark");
   }
 
   @Override
-  public void unreachable(Object one) {
-    throw new IllegalStateException("every server is there");
+  public void rejectUnreachable(Object ignored) {
+    throw new IllegalStateException("every server is listed");
   }
 
   @Override
-  public void full(Object one) {
-    throw new IllegalStateException("nothing comes in parts here");
+  public void rejectFull(Object ignored) {
+    throw new IllegalStateException("no answer is streamed in this benchmark");
   }
 }
--- a/src/bench/java/beamspread/relay/RelaysBenchmark.java
+++ b/src/bench/java/beamspread/relay/RelaysBenchmark.java
@@ -13,7 +13,10 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** What the decisions about one large value cost, beside others that wait for their clients. */
+/**
+ * Measures the cost of the decisions about one large value, beside others that wait for their
+ * clients.
+ */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -21,59 +24,59 @@
 @Measurement(iterations = 5, time = 1)
 @Fork(value = 2, jvmArgs = {"-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1"})
 public class RelaysBenchmark implements RelayActions {
-  private static final int PARTS = 16;
-  private static final int PART = 1 << 14;
+  private static final int PART_COUNT = 16;
+  private static final int PART_BYTES = 1 << 14;
 
   @Param({"0", "30", "300"})
-  private int beside;
+  private int waitingRelays;
 
-  private final Relays relays = new Relays(RelaySettings.usual(1 << 24));
-  private int told;
+  private final Relays relays = new Relays(RelaySettings.defaults(1 << 24));
+  private int actionCount;
 
   @Setup
   public void fill() {
-    for (int i = 0; i < beside; i++) {
+    for (int i = 0; i < waitingRelays; i++) {
       Relay relay = relays.begin(0, 4 << 20, this);
-      relay.turn(0);
-      relay.came(0, 1 << 19);
+      relay.clientReady(0);
+      relay.received(0, 1 << 19);
     }
   }
 
-  /** A value of 256 KiB in sixteen parts, each taken as it comes. */
+  /** Relays a value of 256 KiB in sixteen parts, each read by the client as it arrives. */
   @Benchmark
-  public int value() {
-    Relay relay = relays.begin(1, (long) PARTS * PART, this);
-    relay.turn(1);
-    for (int i = 0; i < PARTS; i++) {
-      relay.came(1, PART);
-      relay.taken(1, PART);
+  public int relayValue() {
+    Relay relay = relays.begin(1, (long) PART_COUNT * PART_BYTES, this);
+    relay.clientReady(1);
+    for (int i = 0; i < PART_COUNT; i++) {
+      relay.received(1, PART_BYTES);
+      relay.delivered(1, PART_BYTES);
     }
-    relay.whole(1);
-    return told;
+    relay.completed(1);
+    return actionCount;
   }
 
   @Override
-  public void reading(boolean on) {
-    told++;
+  public void setReading(boolean enabled) {
+    actionCount++;
   }
 
   @Override
-  public void closeServer() {
-    told++;
+  public void closeServerConnection() {
+    actionCount++;
   }
 
   @Override
-  public void cut() {
-    told++;
+  public void cutClient() {
+    actionCount++;
   }
 
   @Override
-  public boolean shared() {
+  public boolean isShared() {
     return false;
   }
 
   @Override
-  public void over(boolean whole) {
-    told++;
+  public void ended(boolean complete) {
+    actionCount++;
   }
 }
--- a/src/bench/java/beamspread/tier/TierBenchmark.java
+++ b/src/bench/java/beamspread/tier/TierBenchmark.java
@@ -14,7 +14,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** What a turn and a datagram cost a member, by the size of its tier. */
+/** Measures the cost of a turn and of a datagram for a member, by the size of its tier. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -24,74 +24,78 @@
 public class TierBenchmark implements TierActions {
   private static final long SECOND = 1_000_000_000;
 
-  /** Silence is long, so that beats need not be fed in with each turn. */
+  /** The silence limit is long, so that heartbeats need not be received in each turn. */
   private static final TierSettings SETTINGS =
       new TierSettings(
           "bench", SECOND / 4, 60 * SECOND, SECOND / 4, 3 * SECOND, 600 * SECOND, 2000, 32_000);
 
-  private static final int FED_EVERY = 200;
+  private static final int HEARTBEAT_TURNS = 200;
 
   @Param({"14", "100", "1000"})
   private int members;
 
   private Tier tier;
-  private byte[][] beats;
+  private byte[][] heartbeats;
   private long now;
-  private int next;
+  private int nextSender;
   private int turns;
-  private int told;
+  private int outputCount;
 
   @Setup
   public void fill() {
     tier = new Tier(SETTINGS, 0, members, new Card("n0", "a", "1"), 1, 1, 0, this);
-    beats = new byte[members][];
+    heartbeats = new byte[members][];
     for (int number = 1; number < members; number++) {
-      beats[number] = beat(number, 0);
-      tier.received(now, number, beats[number]);
+      heartbeats[number] = heartbeat(number, 0);
+      tier.received(now, number, heartbeats[number]);
     }
     for (int turn = 0; turn < 200; turn++) {
       turn();
     }
-    // As one that knows the same would send it: else each is an occasion to compare.
+    // The digest of a member with the same state; a different one would start a comparison each
+    // time.
     for (int number = 1; number < members; number++) {
-      beats[number] = beat(number, tier.digest());
+      heartbeats[number] = heartbeat(number, tier.digest());
     }
   }
 
-  private static byte[] beat(int number, int digest) {
-    MemberRecord own = new MemberRecord(number, 50, 0, MemberState.ALIVE);
+  private static byte[] heartbeat(int number, int digest) {
+    MemberRecord sender = new MemberRecord(number, 50, 0, MemberState.ALIVE);
     return new Datagram(
-            Datagram.Kind.ANSWER, SETTINGS.tag(), own, 1, 0, Datagram.NEVER, digest, List.of())
+            Datagram.Kind.ANSWER, SETTINGS.tag(), sender, 1, 0, Datagram.NEVER, digest, List.of())
         .bytes();
   }
 
-  /** A turn, with the beats that it sends; once in 200 of them all are heard. */
+  /**
+   * Runs a turn with the heartbeats that it sends; in one of 200 turns all members' heartbeats
+   * arrive.
+   */
   @Benchmark
   public int turn() {
     now += SETTINGS.intervalNanos();
-    for (int number = 1; turns % FED_EVERY == 0 && number < members; number++) {
-      tier.received(now, number, beats[number]);
+    for (int number = 1; turns % HEARTBEAT_TURNS == 0 && number < members; number++) {
+      tier.received(now, number, heartbeats[number]);
     }
     turns++;
     tier.run(now);
-    return told;
+    return outputCount;
   }
 
-  /** A beat that says nothing new. */
+  /** Receives a heartbeat without changes. */
   @Benchmark
   public int datagram() {
-    next = next % (members - 1) + 1;
-    tier.received(now, next, beats[next]);
-    return told;
+    nextSender = nextSender % (members - 1) + 1;
+    tier.received(now, nextSender, heartbeats[nextSender]);
+    return outputCount;
   }
 
   @Override
   public void send(int number, byte[] datagram) {
-    told += datagram.length;
+    outputCount += datagram.length;
   }
 
   @Override
   public void changed(MemberRecord before, MemberRecord after, String why) {
-    told++;
+    outputCount++;
   }
 }
--- a/src/main/java/beamspread/agent/AgentServer.java
+++ b/src/main/java/beamspread/agent/AgentServer.java
@@ -3,8 +3,8 @@
 import beamspread.fleet.api.Api;
 import beamspread.fleet.api.Json;
 import beamspread.lease.FencingToken;
-import beamspread.loop.Listener;
-import beamspread.loop.SocketLook;
+import beamspread.loop.ListeningSocket;
+import beamspread.loop.SocketPolling;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -91,7 +91,7 @@
   /** Listens; returns the URL. */
   String listen(AgentConfig.Api config) throws IOException, InterruptedException {
     listener =
-        Listener.open(
+        ListeningSocket.open(
             new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class),
             new InetSocketAddress(config.host(), config.port()),
             "cannot listen on " + config.host() + ":" + config.port(),
@@ -103,7 +103,7 @@
   private void accept(Channel channel) {
     for (Channel caller : callers.inTheWay()) {
       // Its request may have come since the loop last looked.
-      SocketLook.read(caller);
+      SocketPolling.readNow(caller);
       if (callers.waits(caller)) {
         callers.leaves(caller);
         caller.close();
--- a/src/main/java/beamspread/chaos/TcpRelay.java
+++ b/src/main/java/beamspread/chaos/TcpRelay.java
@@ -1,6 +1,6 @@
 package beamspread.chaos;
 
-import beamspread.loop.Listener;
+import beamspread.loop.ListeningSocket;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -63,7 +63,7 @@
     this.back = back;
     this.target = target;
     listener =
-        Listener.open(
+        ListeningSocket.open(
             new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
--- a/src/main/java/beamspread/lab/Fleet.java
+++ b/src/main/java/beamspread/lab/Fleet.java
@@ -193,7 +193,7 @@
         pool.connections(),
         64,
         pool.spare(),
-        pool.freeEach() > 0 ? pool.freeEach() : PoolSettings.tierPart(nodes),
+        pool.freeEach() > 0 ? pool.freeEach() : PoolSettings.shareOfNode(nodes),
         30_000_000_000L,
         0,
         400_000_000L,
--- a/src/main/java/beamspread/lab/NodeModel.java
+++ b/src/main/java/beamspread/lab/NodeModel.java
@@ -224,7 +224,7 @@
         drains.putIfAbsent(entry.id(), time.now());
       }
       boolean old = entry.startedAt() == 0;
-      pools.listed(
+      pools.serverListed(
           entry.id(),
           false,
           old ? Long.MIN_VALUE : (long) ((entry.startedAt() - EPOCH_SECONDS) * 1e9));
@@ -302,14 +302,14 @@
     }
     Try one = link.underWay.poll();
     long now = time.now();
-    pools.heard(now, link.id);
+    pools.dataReceived(now, link.id);
     boolean turnedAway = turn.result == Outcome.Result.FULL;
-    pools.answered(now, link.id, one.writtenAt, !one.over, guarded(one), turnedAway);
+    pools.attemptAnswered(now, link.id, one.writtenAt, !one.over, guarded(one), turnedAway);
     if (turn.result == Outcome.Result.OK && !one.request.ended && !one.over) {
       answer(one.request, Answer.SERVED, 0);
     }
     ended(one, turn.result, turn.note);
-    pools.readDone(now, link.id, false);
+    pools.readCompleted(now, link.id, false);
   }
 
   private void broken(Link link) {
@@ -318,11 +318,11 @@
     }
     link.ended = true;
     links.remove(link.id);
-    pools.ending(link.id, false);
+    pools.connectionEnding(link.id, false);
     for (Try one = link.underWay.poll(); one != null; one = link.underWay.poll()) {
       ended(one, Outcome.Result.RESET, Outcome.Note.NONE);
     }
-    pools.closed(time.now(), link.id);
+    pools.connectionClosed(time.now(), link.id);
   }
 
   private void ended(Try one, Outcome.Result result, Outcome.Note note) {
@@ -367,9 +367,9 @@
     }
     boolean unsent = one.link == null && result == Outcome.Result.TIMEOUT;
     if (one.link == null) {
-      pools.forget(one.server, one);
+      pools.withdrawWaiting(one.server, one);
     } else {
-      pools.abandoned(one.link.id, one.sentAt, result == Outcome.Result.TIMEOUT);
+      pools.attemptAbandoned(one.link.id, one.sentAt, result == Outcome.Result.TIMEOUT);
     }
     ended(one, unsent ? Outcome.Result.CONNECT_FAILED : result, Outcome.Note.NONE);
   }
@@ -469,11 +469,11 @@
             link.box.disconnect(link);
           } else if (!taken) {
             turnedDown++;
-            pools.notOpened(time.now(), link.id, false);
+            pools.connectionFailed(time.now(), link.id, false);
           } else {
             handshakes++;
             links.put(link.id, link);
-            pools.opened(time.now(), link.id);
+            pools.connectionOpened(time.now(), link.id);
           }
         });
   }
@@ -501,12 +501,12 @@
   }
 
   @Override
-  public void unreachable(Try one) {
+  public void rejectUnreachable(Try one) {
     ended(one, Outcome.Result.CONNECT_FAILED, Outcome.Note.NONE);
   }
 
   @Override
-  public void full(Try one) {
+  public void rejectFull(Try one) {
     ended(one, Outcome.Result.FULL, Outcome.Note.NONE);
   }
 }
--- a/src/main/java/beamspread/loop/ForwardingIoHandler.java
+++ b/src/main/java/beamspread/loop/ForwardingIoHandler.java
@@ -5,46 +5,46 @@
 import io.netty.channel.IoHandlerContext;
 import io.netty.channel.IoRegistration;
 
-/** An event loop's I/O that is another's, but for what a subclass does of it itself. */
+/** An I/O handler that delegates to another one; subclasses override what they change. */
 abstract class ForwardingIoHandler implements IoHandler {
-  private final IoHandler inner;
+  private final IoHandler delegate;
 
-  ForwardingIoHandler(IoHandler inner) {
-    this.inner = inner;
+  ForwardingIoHandler(IoHandler delegate) {
+    this.delegate = delegate;
   }
 
   @Override
   public int run(IoHandlerContext context) {
-    return inner.run(context);
+    return delegate.run(context);
   }
 
   @Override
   public void initialize() {
-    inner.initialize();
+    delegate.initialize();
   }
 
   @Override
   public void prepareToDestroy() {
-    inner.prepareToDestroy();
+    delegate.prepareToDestroy();
   }
 
   @Override
   public void destroy() {
-    inner.destroy();
+    delegate.destroy();
   }
 
   @Override
   public IoRegistration register(IoHandle handle) throws Exception {
-    return inner.register(handle);
+    return delegate.register(handle);
   }
 
   @Override
   public void wakeup() {
-    inner.wakeup();
+    delegate.wakeup();
   }
 
   @Override
   public boolean isCompatible(Class<? extends IoHandle> type) {
-    return inner.isCompatible(type);
+    return delegate.isCompatible(type);
   }
 }
--- a/src/main/java/beamspread/loop/package-info.java
+++ b/src/main/java/beamspread/loop/package-info.java
@@ -1,2 +1,2 @@
-/** An event loop: how long its turns take, a look at one socket between two, and how it listens. */
+/** Event loop support: turn times, immediate polling of one socket, and listening sockets. */
 package beamspread.loop;
--- a/src/main/java/beamspread/maintenance/Detachments.java
+++ b/src/main/java/beamspread/maintenance/Detachments.java
@@ -12,48 +12,51 @@
 import java.util.Set;
 
 /**
- * The cache servers that operators have taken out of use. Lays that over each list: a server taken
- * out is told as draining, so that the rule on drains holds for it; one that was put back as
- * started at that moment, since it was restarted meanwhile, and the list may tell so later or
- * never.
+ * Tracks the cache servers that operators have detached, and overlays them on each list. A detached
+ * server is listed as draining, so that the drain rules apply to it. One that was attached again is
+ * listed as started at that moment: it was restarted meanwhile, and the list may report that later
+ * or never.
  *
- * <p>Servers are known by the number that the decision module uses. Not for more than one thread.
+ * <p>Servers are identified by their number in the decision module. Not thread-safe.
  */
 public final class Detachments {
-  /** How many may be taken out at a time: a list that is larger is no maintenance. */
-  public static final int MOST = 4096;
+  /** Most servers that may be detached at a time; more than this is not maintenance. */
+  public static final int MAX_DETACHED = 4096;
 
-  /** Ids remembered, those that have left the list too: some 80 bytes each of a small heap. */
-  static final int REMEMBERED = 1 << 12;
+  /**
+   * Most ids remembered, including those that have left the list; each takes some 80 bytes of a
+   * small heap.
+   */
+  static final int MAX_REMEMBERED_IDS = 1 << 12;
 
-  /** The list as it was last told, without what operators said. */
+  /** The latest list, without the overlay. */
   private final Map<Long, ServerEntry> listed = new HashMap<>();
 
-  /** When servers were put back, in the clock's seconds; the oldest are forgotten. */
-  private final Map<Long, Double> attachedAt =
+  /** When servers were attached, in seconds of the clock; the oldest are dropped. */
+  private final Map<Long, Double> attachedAtSeconds =
       new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<Long, Double> eldest) {
-          return size() > MOST;
+          return size() > MAX_DETACHED;
         }
       };
 
   private final Set<Long> detached = new HashSet<>();
 
-  /** All that were ever listed, oldest first, within bounds. */
+  /** Ids that were ever listed, oldest first, up to the limit. */
   private final LinkedHashSet<Long> seen = new LinkedHashSet<>();
 
-  /** Takes in news of the list; returns what the decision module is to be told of them. */
+  /** Applies an update of the list and returns it with the overlay, for the decision module. */
   public MembershipUpdate overlay(MembershipUpdate update) {
-    boolean whole =
+    boolean replacesList =
         update.kind() == MembershipUpdate.Kind.FULL
             || update.kind() == MembershipUpdate.Kind.REMEMBERED;
-    if (whole) {
+    if (replacesList) {
       listed.clear();
     }
-    List<ServerEntry> told = new ArrayList<>(update.entries().size());
+    List<ServerEntry> overlaidEntries = new ArrayList<>(update.entries().size());
     for (ServerEntry entry : update.entries()) {
       if (entry.state() == ServerEntry.State.GONE) {
         listed.remove(entry.id());
@@ -61,19 +64,19 @@
         listed.put(entry.id(), entry);
         remember(entry.id());
       }
-      told.add(overlaid(entry));
+      overlaidEntries.add(applyDetachment(entry));
     }
-    return new MembershipUpdate(update.kind(), update.version(), told);
+    return new MembershipUpdate(update.kind(), update.version(), overlaidEntries);
   }
 
   private void remember(long server) {
-    if (seen.add(server) && seen.size() > REMEMBERED) {
+    if (seen.add(server) && seen.size() > MAX_REMEMBERED_IDS) {
       seen.remove(seen.iterator().next());
     }
   }
 
-  private ServerEntry overlaid(ServerEntry entry) {
-    double started = Math.max(entry.startedAt(), attachedAt.getOrDefault(entry.id(), 0.0));
+  private ServerEntry applyDetachment(ServerEntry entry) {
+    double started = Math.max(entry.startedAt(), attachedAtSeconds.getOrDefault(entry.id(), 0.0));
     ServerEntry.State state =
         entry.state() == ServerEntry.State.READY && detached.contains(entry.id())
             ? ServerEntry.State.DRAINING
@@ -82,71 +85,71 @@
         entry.id(), entry.zone(), entry.kind(), entry.cell(), state, entry.weight(), started);
   }
 
-  /** Whether a server of this number was ever listed, or is taken out. */
+  /** Returns whether a server with this number was ever listed, or is detached. */
   public boolean knows(long server) {
     return seen.contains(server) || detached.contains(server);
   }
 
-  /** Whether a server is taken out. */
+  /** Returns whether a server is detached. */
   public boolean isDetached(long server) {
     return detached.contains(server);
   }
 
-  /** Whether one more may be taken out. */
+  /** Returns whether one more server may be detached. */
   public boolean hasRoom() {
-    return detached.size() < MOST;
+    return detached.size() < MAX_DETACHED;
   }
 
-  /** Those taken out, whether listed or not. */
+  /** Returns the detached servers, listed or not. */
   public Set<Long> detached() {
     return Set.copyOf(detached);
   }
 
-  /** How many servers the list names. */
-  public int listed() {
+  /** Returns how many servers the list contains. */
+  public int listedCount() {
     return listed.size();
   }
 
-  /** How many of the listed servers get nothing new, by what operators or the list say. */
-  public int avoided() {
+  /** Returns how many listed servers get no new requests, because of the list or of an operator. */
+  public int avoidedCount() {
     int avoided = 0;
     for (ServerEntry entry : listed.values()) {
-      boolean out = entry.state() != ServerEntry.State.READY || detached.contains(entry.id());
-      avoided += out ? 1 : 0;
+      boolean isAvoided = entry.state() != ServerEntry.State.READY || detached.contains(entry.id());
+      avoided += isAvoided ? 1 : 0;
     }
     return avoided;
   }
 
   /**
-   * A server is taken out of use until it is put back, whatever the list says.
+   * Detaches a server until it is attached again, whatever the list says.
    *
-   * @return the line that the decision module is to be told, null if nothing changes for it
-   * @throws IllegalStateException if {@link #MOST} are taken out already
+   * @return the changed entry for the decision module, null if nothing changes for it
+   * @throws IllegalStateException if {@link #MAX_DETACHED} are detached already
    */
   public ServerEntry detach(long server) {
     if (!hasRoom() && !detached.contains(server)) {
-      throw new IllegalStateException(MOST + " servers are taken out already");
+      throw new IllegalStateException(MAX_DETACHED + " servers are detached already");
     }
-    return detached.add(server) ? line(server) : null;
+    return detached.add(server) ? overlaidEntry(server) : null;
   }
 
   /**
-   * A server is put back into use. Putting back one that is in use changes nothing: a repeated call
-   * must not make it cold once more.
+   * Attaches a server again. Attaching one that is not detached changes nothing, so that a repeated
+   * call does not make it cold once more.
    *
-   * @param now the clock's seconds
-   * @return the line that the decision module is to be told, null if nothing changes for it
+   * @param now seconds of the clock
+   * @return the changed entry for the decision module, null if nothing changes for it
    */
   public ServerEntry attach(double now, long server) {
     if (!detached.remove(server)) {
       return null;
     }
-    attachedAt.put(server, now);
-    return line(server);
+    attachedAtSeconds.put(server, now);
+    return overlaidEntry(server);
   }
 
-  private ServerEntry line(long server) {
+  private ServerEntry overlaidEntry(long server) {
     ServerEntry entry = listed.get(server);
-    return entry == null ? null : overlaid(entry);
+    return entry == null ? null : applyDetachment(entry);
   }
 }
--- a/src/main/java/beamspread/maintenance/Tally.java
+++ b/src/main/java/beamspread/maintenance/Tally.java
@@ -10,27 +10,28 @@
 import java.util.Map;
 
 /**
- * What a node does in each second, as one line of names and numbers, so that the lines of all nodes
- * can be added up: what is harmless in one node may be dear in all. Counts are of the second that
- * ends with the line. Not for more than one thread; its memory is that of the servers listed.
+ * Formats what a node did in each second as one log line of names and numbers. The lines of all
+ * nodes can be added up, since a load that is small at one node may be large over all of them.
+ * Counts cover the second that ends with the line. Not thread-safe; memory is bounded by the number
+ * of listed servers.
  */
 public final class Tally {
-  /** The word a line begins with. */
-  public static final String HEAD = "tally";
+  /** First word of each line. */
+  public static final String LINE_PREFIX = "tally";
 
-  /** The name under which a line lists servers that had no connection to give. */
-  public static final String SHUT = "shut";
+  /** Field that lists servers to which connecting failed. */
+  public static final String CONNECT_FAILURES_FIELD = "shut";
 
-  /** Servers named in a line. */
-  private static final int NAMED = 8;
+  /** Most servers named in a line. */
+  private static final int MAX_NAMED_SERVERS = 8;
 
-  /** Servers counted in a second; more are one rest. */
-  private static final int MOST_SERVERS = 1024;
+  /** Most servers counted in a second; further ones are counted together. */
+  private static final int MAX_COUNTED_SERVERS = 1024;
 
-  /** From so many seconds on a request was held before its first attempt. */
-  private static final double HELD = 0.005;
+  /** Delay before its first attempt, in seconds, above which a request counts as held. */
+  private static final double HELD_THRESHOLD_SECONDS = 0.005;
 
-  /** The figures of the second, by their names in the line. */
+  /** The counts of a second; their lower-case names are the field names of the line. */
   private enum Count {
     READS,
     WRITES,
@@ -39,12 +40,12 @@
     READS_LATE,
     WRITES_LATE,
     REFUSED,
-    /** Of those refused: no attempt had been made. */
+    /** Refused requests without any attempt. */
     UNSENT,
     FAILED,
     GONE,
     TRIES,
-    /** Requests whose first attempt came late, and by how many milliseconds together. */
+    /** Requests with a delayed first attempt, and their total delay in milliseconds. */
     HELD,
     HELD_MS,
     HITS,
@@ -54,41 +55,47 @@
     WRITE_MS
   }
 
-  /** What a node has at the end of a second. */
-  public record Gauges(int open, int attempts, int clients, int links, long opened, long refused) {}
+  /** Current values and running totals of a node at the end of a second. */
+  public record Gauges(
+      int openRequests,
+      int openAttempts,
+      int clientConnections,
+      int serverConnections,
+      long openedTotal,
+      long failedOpensTotal) {}
 
   private final long[] counts = new long[Count.values().length];
-  private final Map<Outcome.Result, Integer> ends = new EnumMap<>(Outcome.Result.class);
-  private final Map<Long, Integer> shut = new HashMap<>();
-  private long opened;
-  private long refused;
+  private final Map<Outcome.Result, Integer> endsByResult = new EnumMap<>(Outcome.Result.class);
+  private final Map<Long, Integer> connectFailuresByServer = new HashMap<>();
+  private long lastOpenedTotal;
+  private long lastFailedOpensTotal;
 
   private void add(Count count, long by) {
     counts[count.ordinal()] += by;
   }
 
-  /** A request was taken. */
-  public void taken(boolean write) {
+  /** Records an accepted request. */
+  public void requestAccepted(boolean write) {
     add(write ? Count.WRITES : Count.READS, 1);
   }
 
   /**
-   * An attempt goes out.
+   * Records a sent attempt.
    *
-   * @param first whether it is its request's first
-   * @param waited seconds since the request was taken
+   * @param first whether it is the first of its request
+   * @param waitedSeconds seconds since the request was accepted
    */
-  public void sent(boolean first, double waited) {
+  public void attemptSent(boolean first, double waitedSeconds) {
     add(Count.TRIES, 1);
-    if (first && waited > HELD) {
+    if (first && waitedSeconds > HELD_THRESHOLD_SECONDS) {
       add(Count.HELD, 1);
-      add(Count.HELD_MS, Math.round(waited * 1e3));
+      add(Count.HELD_MS, Math.round(waitedSeconds * 1e3));
     }
   }
 
-  /** An attempt has ended. */
-  public void ended(Outcome outcome, boolean write) {
-    ends.merge(outcome.result(), 1, Integer::sum);
+  /** Records the outcome of an attempt. */
+  public void attemptEnded(Outcome outcome, boolean write) {
+    endsByResult.merge(outcome.result(), 1, Integer::sum);
     long millis = Math.round(outcome.elapsed() * 1e3);
     if (outcome.result() == Outcome.Result.OK) {
       if (write) {
@@ -101,81 +108,87 @@
         add(Count.MISS_MS, millis);
       }
     } else if (outcome.result() == Outcome.Result.CONNECT_FAILED) {
-      boolean room = shut.size() < MOST_SERVERS || shut.containsKey(outcome.server());
-      shut.merge(room ? outcome.server() : -1L, 1, Integer::sum);
+      boolean room =
+          connectFailuresByServer.size() < MAX_COUNTED_SERVERS
+              || connectFailuresByServer.containsKey(outcome.server());
+      connectFailuresByServer.merge(room ? outcome.server() : -1L, 1, Integer::sum);
     }
   }
 
-  /** A request was served; late if its aim was over. */
-  public void served(boolean write, boolean late) {
+  /** Records a served request; it is late if its aim had passed. */
+  public void requestServed(boolean write, boolean late) {
     add(write ? Count.WRITES_SERVED : Count.READS_SERVED, 1);
     if (late) {
       add(write ? Count.WRITES_LATE : Count.READS_LATE, 1);
     }
   }
 
-  /** A request was turned away. */
-  public void refused(boolean unsent) {
+  /** Records a refused request. */
+  public void requestRefused(boolean unsent) {
     add(Count.REFUSED, 1);
     add(Count.UNSENT, unsent ? 1 : 0);
   }
 
-  /** A request was answered as failed. */
-  public void failed() {
+  /** Records a request answered as failed. */
+  public void requestFailed() {
     add(Count.FAILED, 1);
   }
 
-  /** A client went away before its answer. */
-  public void gone() {
+  /** Records a client that disconnected before its answer. */
+  public void clientDisconnected() {
     add(Count.GONE, 1);
   }
 
   /**
-   * The line of the second that ends now; the next one begins.
+   * Returns the line of the second that ends now, and starts the next second.
    *
-   * @param unixMillis the time of day, by which the lines of several nodes are put together
+   * @param unixMillis wall-clock time, by which lines of several nodes are matched
    */
-  public String line(long unixMillis, Gauges now) {
-    StringBuilder line = new StringBuilder(HEAD);
-    put(line, "at", unixMillis);
+  public String nextLine(long unixMillis, Gauges gauges) {
+    StringBuilder line = new StringBuilder(LINE_PREFIX);
+    append(line, "at", unixMillis);
     for (Count count : Count.values()) {
-      put(line, count.name().toLowerCase(Locale.ROOT), counts[count.ordinal()]);
+      append(line, count.name().toLowerCase(Locale.ROOT), counts[count.ordinal()]);
       counts[count.ordinal()] = 0;
     }
     for (Outcome.Result result : Outcome.Result.values()) {
-      put(line, "end_" + result.name().toLowerCase(Locale.ROOT), ends.getOrDefault(result, 0));
+      append(
+          line,
+          "end_" + result.name().toLowerCase(Locale.ROOT),
+          endsByResult.getOrDefault(result, 0));
     }
-    ends.clear();
-    put(line, "open", now.open());
-    put(line, "attempts", now.attempts());
-    put(line, "clients", now.clients());
-    put(line, "links", now.links());
-    put(line, "opened", now.opened() - opened);
-    put(line, "turned_down", now.refused() - refused);
-    opened = now.opened();
-    refused = now.refused();
-    if (!shut.isEmpty()) {
-      line.append(' ').append(SHUT).append('=').append(worst());
-      shut.clear();
+    endsByResult.clear();
+    append(line, "open", gauges.openRequests());
+    append(line, "attempts", gauges.openAttempts());
+    append(line, "clients", gauges.clientConnections());
+    append(line, "links", gauges.serverConnections());
+    append(line, "opened", gauges.openedTotal() - lastOpenedTotal);
+    append(line, "turned_down", gauges.failedOpensTotal() - lastFailedOpensTotal);
+    lastOpenedTotal = gauges.openedTotal();
+    lastFailedOpensTotal = gauges.failedOpensTotal();
+    if (!connectFailuresByServer.isEmpty()) {
+      line.append(' ').append(CONNECT_FAILURES_FIELD).append('=').append(mostConnectFailures());
+      connectFailuresByServer.clear();
     }
     return line.toString();
   }
 
-  private static void put(StringBuilder line, String name, long value) {
+  private static void append(StringBuilder line, String name, long value) {
     line.append(' ').append(name).append('=').append(value);
   }
 
-  /** The servers with the most of them, as ID:COUNT. */
-  private String worst() {
-    List<Map.Entry<Long, Integer>> all = new ArrayList<>(shut.entrySet());
-    all.sort(
+  /** Returns the servers with the most connect failures, as ID:COUNT. */
+  private String mostConnectFailures() {
+    List<Map.Entry<Long, Integer>> entries = new ArrayList<>(connectFailuresByServer.entrySet());
+    entries.sort(
         Comparator.<Map.Entry<Long, Integer>>comparingInt(Map.Entry::getValue)
             .reversed()
             .thenComparing(Map.Entry::getKey));
     StringBuilder text = new StringBuilder();
-    for (Map.Entry<Long, Integer> one : all.subList(0, Math.min(NAMED, all.size()))) {
+    for (Map.Entry<Long, Integer> entry :
+        entries.subList(0, Math.min(MAX_NAMED_SERVERS, entries.size()))) {
       text.append(text.length() == 0 ? "" : ",");
-      text.append(Long.toHexString(one.getKey())).append(':').append(one.getValue());
+      text.append(Long.toHexString(entry.getKey())).append(':').append(entry.getValue());
     }
     return text.toString();
   }
--- a/src/main/java/beamspread/maintenance/package-info.java
+++ b/src/main/java/beamspread/maintenance/package-info.java
@@ -1,5 +1,6 @@
 /**
- * What operators say of cache servers, laid over what the list says. Free of I/O, clocks and
- * randomness: it is told what happens and when, and says what the decision module is to be told.
+ * Operators' changes to cache servers, overlaid on the server list, and the counters of a node.
+ * Free of I/O, clocks and randomness: it receives events with their times and returns the changes
+ * for the decision module.
  */
 package beamspread.maintenance;
--- a/src/main/java/beamspread/node/Dispatcher.java
+++ b/src/main/java/beamspread/node/Dispatcher.java
@@ -1,6 +1,6 @@
 package beamspread.node;
 
-import beamspread.maintenance.Figures;
+import beamspread.maintenance.RequestCounters;
 import beamspread.maintenance.Tally;
 import beamspread.model.Learnt;
 import beamspread.model.ListEvidence;
@@ -16,7 +16,7 @@
 import beamspread.node.handover.LearntNote;
 import beamspread.node.relay.ValueRelays;
 import beamspread.node.server.Attempt;
-import beamspread.node.server.Outcomes;
+import beamspread.node.server.AttemptListener;
 import beamspread.node.server.ServerPools;
 import beamspread.node.server.ValueSink;
 import beamspread.node.server.ValueSource;
@@ -40,7 +40,7 @@
  * Stands between the decision module and the sockets: carries out what it decides, and tells it
  * what comes of attempts. All of it runs on the event loop.
  */
-final class Dispatcher implements Actions, Outcomes, DiscoveryClient.Listener {
+final class Dispatcher implements Actions, AttemptListener, DiscoveryClient.Listener {
   /**
    * The node stops waiting for an attempt this long before the client stops waiting for the node,
    * so that the module hears of the time-out before it must answer, and the answer is in time.
@@ -133,7 +133,7 @@
   void tally(IntSupplier clients) {
     Tally tally = metrics.beginTally();
     loop.scheduleAtFixedRate(
-        () -> log.line(tally.line(System.currentTimeMillis(), gauges(clients))),
+        () -> log.line(tally.nextLine(System.currentTimeMillis(), gauges(clients))),
         1,
         1,
         TimeUnit.SECONDS);
@@ -144,9 +144,9 @@
         open.unanswered(),
         open.attempts(),
         clients.getAsInt(),
-        pools.sockets(),
+        pools.socketCount(),
         pools.opened(),
-        pools.turnedDown());
+        pools.failedOpens());
   }
 
   /** Tells the module the list as it was last known, and begins to follow it. */
@@ -167,7 +167,7 @@
       log.line("discovery moves to " + changed.discovery());
       discovery.move(changed.discovery());
     }
-    pools.use(changed.pool().without(heldByOthers));
+    pools.applySettings(changed.pool().withoutSockets(heldByOthers));
     if (changed.needsRestart(config)) {
       log.line("new settings, limits or listening address: taken over at the next start");
     }
@@ -194,7 +194,7 @@
     balancer.share(Math.min(openRequests, settings.limits().maxOpen() / 3 * 2));
     if (sockets != heldByOthers) {
       heldByOthers = sockets;
-      pools.use(config.pool().without(sockets));
+      pools.applySettings(config.pool().withoutSockets(sockets));
     }
   }
 
@@ -267,7 +267,7 @@
     return balancer.unserved();
   }
 
-  Figures figures() {
+  RequestCounters figures() {
     return metrics.figures();
   }
 
@@ -288,7 +288,7 @@
   // What cache servers do.
 
   @Override
-  public void ended(Attempt attempt, Outcome.Result result) {
+  public void attemptEnded(Attempt attempt, Outcome.Result result) {
     ended((RequestAttempt) attempt, result, Outcome.Note.NONE, null);
   }
 
@@ -330,7 +330,7 @@
    * found there is told to the module afterwards: it may be deciding just now, and the pools are.
    */
   @Override
-  public boolean wanted(Attempt attempt) {
+  public boolean isWanted(Attempt attempt) {
     OpenRequest request = ((RequestAttempt) attempt).request;
     if (!request.ended && events.collect(() -> lookForClient(request))) {
       loop.execute(events::tellWaiting);
@@ -345,33 +345,33 @@
   }
 
   @Override
-  public void written(Attempt attempt) {
+  public void attemptWritten(Attempt attempt) {
     metrics.attemptWritten();
   }
 
   /** A reply has come; it is dropped where the module has been told another end. */
   @Override
-  public void replied(Attempt answered, MetaReply reply) {
+  public void replyReceived(Attempt answered, MetaReply reply) {
     RequestAttempt attempt = (RequestAttempt) answered;
     OpenRequest request = attempt.request;
-    if (reply.result() == Outcome.Result.OK && !request.ended && !attempt.over()) {
+    if (reply.result() == Outcome.Result.OK && !request.ended && !attempt.isSettled()) {
       open.over(request);
       metrics.served(request);
-      metrics.replied(request.command.request.serviceClass(), Figures.Reply.SUCCESS);
+      metrics.replied(request.command.request.serviceClass(), RequestCounters.Ending.SUCCESS);
       if (request.rewrite != null && reply.value() != null) {
         variants.answered(request.rewrite, reply.value());
       }
-      request.slot.answer(reply.clientAnswer(request.slot.alloc()));
+      request.slot.answer(reply.encodeForClient(request.slot.alloc()));
     }
-    ended(attempt, reply.result(), reply.note(), reply.load());
+    ended(attempt, reply.result(), reply.note(), reply.loadReport());
   }
 
   @Override
-  public ValueSink begun(Attempt answered, MetaReply head, ValueSource source) {
+  public ValueSink valueStarted(Attempt answered, MetaReply head, ValueSource source) {
     RequestAttempt attempt = (RequestAttempt) answered;
     OpenRequest request = attempt.request;
     ValueSink sink = null;
-    if (!request.ended && !attempt.over()) {
+    if (!request.ended && !attempt.isSettled()) {
       open.over(request);
       metrics.served(request);
       String type = request.command.request.serviceClass();
@@ -380,10 +380,12 @@
               head,
               source,
               request.slot,
-              whole -> metrics.replied(type, whole ? Figures.Reply.SUCCESS : Figures.Reply.ERROR));
+              whole ->
+                  metrics.replied(
+                      type, whole ? RequestCounters.Ending.SUCCESS : RequestCounters.Ending.ERROR));
     }
     // For the module the server has answered: when its first bytes came is what tells of it.
-    ended(attempt, head.result(), head.note(), head.load());
+    ended(attempt, head.result(), head.note(), head.loadReport());
     return request.rewrite == null ? sink : variants.passing(request.rewrite, sink);
   }
 
@@ -456,7 +458,7 @@
     request.out++;
     metrics.attemptBegins(attempt);
     if (request.ended || attempt.number >= settings.limits().maxAttempts() || latest - now <= 0) {
-      ended(attempt, Outcome.Result.MOOT);
+      attemptEnded(attempt, Outcome.Result.MOOT);
       return;
     }
     attempt.timeout =
@@ -492,17 +494,17 @@
    * did not run: the timer is due before the loop has looked at the socket.
    */
   private void timeOut(RequestAttempt attempt) {
-    pools.look(attempt);
+    pools.readNow(attempt);
     withdraw(attempt, Outcome.Result.TIMEOUT);
   }
 
   /** Stops waiting for an attempt. */
   private void withdraw(RequestAttempt attempt, Outcome.Result result) {
-    if (!attempt.over()) {
+    if (!attempt.isSettled()) {
       // Its time ran out while it waited for a connection: that none came up proves it never ran.
-      boolean unsent = !attempt.sent() && result == Outcome.Result.TIMEOUT;
+      boolean unsent = !attempt.hasConnection() && result == Outcome.Result.TIMEOUT;
       pools.withdraw(attempt, result == Outcome.Result.TIMEOUT);
-      ended(attempt, unsent ? Outcome.Result.CONNECT_FAILED : result);
+      attemptEnded(attempt, unsent ? Outcome.Result.CONNECT_FAILED : result);
     }
   }
 
@@ -519,7 +521,7 @@
     long millis = Math.round(retryAfter * 1e3);
     open.end(
         open.get(requestId),
-        Figures.Reply.OVERLOAD,
+        RequestCounters.Ending.OVERLOAD,
         "SERVER_ERROR busy" + (millis > 0 ? " " + millis : ""));
   }
 
--- a/src/main/java/beamspread/node/Node.java
+++ b/src/main/java/beamspread/node/Node.java
@@ -1,8 +1,8 @@
 package beamspread.node;
 
-import beamspread.loop.LoopWatch;
-import beamspread.loop.SocketLook;
-import beamspread.loop.WatchedIoHandler;
+import beamspread.loop.EventLoopMonitor;
+import beamspread.loop.MonitoredIoHandler;
+import beamspread.loop.SocketPolling;
 import beamspread.node.client.ClientConnections;
 import beamspread.node.client.ClientHandler;
 import beamspread.node.handover.SharedFolder;
@@ -78,7 +78,7 @@
   private final Dispatcher dispatcher;
   private final MemoryBudget values;
   private final Log log;
-  private final LoopWatch watch;
+  private final EventLoopMonitor watch;
   private final CountDownLatch drained = new CountDownLatch(1);
   private volatile Channel listener;
   private StatusSocket statusSocket;
@@ -107,7 +107,7 @@
 
   /** As much again as for the values of writes: what both hold stays within an eighth. */
   private static RelaySettings relayed(NodeConfig config) {
-    return RelaySettings.usual(Math.max(1 << 20, (long) config.memoryMb() << 16));
+    return RelaySettings.defaults(Math.max(1 << 20, (long) config.memoryMb() << 16));
   }
 
   Node(
@@ -118,11 +118,11 @@
     this.config = config;
     this.transport = transport;
     log = new Log(config.name(), config.jsonLog());
-    watch = new LoopWatch(this::paused);
+    watch = new EventLoopMonitor(this::paused);
     clients = new ClientConnections(limits, watch);
     group =
         new MultiThreadIoEventLoopGroup(
-            1, WatchedIoHandler.factory(NioIoHandler.newFactory(), watch));
+            1, MonitoredIoHandler.factory(NioIoHandler.newFactory(), watch));
     loop = group.next();
     values = new MemoryBudget((long) config.memoryMb() << 16);
     allocator = new PooledByteBufAllocator(true, 0, 1, 8192, 6, 64, 16, true);
@@ -137,7 +137,14 @@
     relays = new ValueRelays(relayed, clients::idleClock);
     dispatcher =
         new Dispatcher(
-            config, loop, bootstrap, config.pool(), STUCK_NANOS, relays, watch::unreadNanos, log);
+            config,
+            loop,
+            bootstrap,
+            config.pool(),
+            STUCK_NANOS,
+            relays,
+            watch::maxUnreadNanos,
+            log);
   }
 
   private void paused(long nanos) {
@@ -149,7 +156,7 @@
     if (listener != null) {
       // Whoever connected meanwhile is read in the next turn, when it is still known how long its
       // request may have waited.
-      SocketLook.accept(listener, clients::accepted, ACCEPT_ROUNDS);
+      SocketPolling.acceptNow(listener, clients::accepted, ACCEPT_ROUNDS);
     }
   }
 
@@ -175,14 +182,14 @@
         mgmt == null ? null : mgmt.address().toString().replace("/", ""),
         dispatcher.openRequests(),
         clients.count(),
-        dispatcher.pools().sockets(),
+        dispatcher.pools().socketCount(),
         dispatcher.targets().states(),
         dispatcher.listStatus(),
         dispatcher.unserved(),
         NodeStatus.Values.of(relays()),
         draining,
-        watch.longestNanos() / 1_000_000,
-        watch.pauses(),
+        watch.longestTurnNanos() / 1_000_000,
+        watch.pauseCount(),
         tier,
         variants);
   }
@@ -346,7 +353,7 @@
 
       @Override
       public int servers() {
-        return dispatcher.pools().sockets();
+        return dispatcher.pools().socketCount();
       }
 
       @Override
@@ -481,7 +488,7 @@
     loop.schedule(
         () -> {
           // Whoever has connected while this node did not run was told that it listens.
-          SocketLook.accept(listener, clients::accepted, ACCEPT_ROUNDS);
+          SocketPolling.acceptNow(listener, clients::accepted, ACCEPT_ROUNDS);
           listener.close();
           // The socket is closed when the loop next looks at its sockets: nothing long before that.
           loop.schedule(
@@ -529,7 +536,7 @@
   }
 
   int serverSockets() {
-    return dispatcher.pools().sockets();
+    return dispatcher.pools().socketCount();
   }
 
   /** How many servers the list names, as the event loop knows it. */
@@ -539,7 +546,7 @@
 
   /** How many servers the list names. */
   int servers() {
-    return dispatcher.targets().detachments().listed();
+    return dispatcher.targets().detachments().listedCount();
   }
 
   int openRequests() {
@@ -569,7 +576,7 @@
     return operators.othersTake();
   }
 
-  LoopWatch watch() {
+  EventLoopMonitor watch() {
     return watch;
   }
 
--- a/src/main/java/beamspread/node/NodeStatus.java
+++ b/src/main/java/beamspread/node/NodeStatus.java
@@ -91,10 +91,10 @@
   record Values(int open, long heldBytes, long passed, long broken, long slow) {
     static Values of(Relays relays) {
       return new Values(
-          relays.open(),
-          relays.held(),
-          relays.passed(),
-          relays.brokenByServers(),
+          relays.openCount(),
+          relays.heldBytes(),
+          relays.completedCount(),
+          relays.abortedByServers(),
           relays.slowClients());
     }
 
--- a/src/main/java/beamspread/node/OpenRequests.java
+++ b/src/main/java/beamspread/node/OpenRequests.java
@@ -1,6 +1,6 @@
 package beamspread.node;
 
-import beamspread.maintenance.Figures;
+import beamspread.maintenance.RequestCounters;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -42,7 +42,7 @@
   List<RequestAttempt> unsentAttempts() {
     return byId.values().stream()
         .flatMap(request -> request.attempts.stream())
-        .filter(attempt -> !attempt.over() && !attempt.sent())
+        .filter(attempt -> !attempt.isSettled() && !attempt.hasConnection())
         .toList();
   }
 
@@ -68,7 +68,7 @@
   }
 
   /** Gives the final answer, if it is not given and the request is open. */
-  void end(OpenRequest request, Figures.Reply reply, String answer) {
+  void end(OpenRequest request, RequestCounters.Ending reply, String answer) {
     if (request != null && !request.ended) {
       over(request);
       metrics.notServed(request, reply);
@@ -78,7 +78,7 @@
   }
 
   void fail(OpenRequest request) {
-    end(request, Figures.Reply.ERROR, "SERVER_ERROR failed");
+    end(request, RequestCounters.Ending.ERROR, "SERVER_ERROR failed");
   }
 
   void failAll() {
--- a/src/main/java/beamspread/node/OperatorCalls.java
+++ b/src/main/java/beamspread/node/OperatorCalls.java
@@ -1,7 +1,7 @@
 package beamspread.node;
 
 import beamspread.maintenance.Detachments;
-import beamspread.maintenance.Figures;
+import beamspread.maintenance.RequestCounters;
 import beamspread.node.discovery.MemberList;
 import beamspread.node.handover.SharedFolder;
 import beamspread.node.mgmt.MgmtCalls;
@@ -155,23 +155,24 @@
 
   @Override
   public String figures() {
-    Figures figures = dispatcher.figures();
+    RequestCounters figures = dispatcher.figures();
     Detachments detachments = dispatcher.targets().detachments();
     return Json.object(
         json -> {
           json.writeObjectFieldStart("replies");
           for (String name : figures.classes()) {
             json.writeObjectFieldStart(name);
-            json.writeNumberField("success", figures.replies(name, Figures.Reply.SUCCESS));
-            json.writeNumberField("overload", figures.replies(name, Figures.Reply.OVERLOAD));
-            json.writeNumberField("error", figures.replies(name, Figures.Reply.ERROR));
+            json.writeNumberField("success", figures.replies(name, RequestCounters.Ending.SUCCESS));
+            json.writeNumberField(
+                "overload", figures.replies(name, RequestCounters.Ending.OVERLOAD));
+            json.writeNumberField("error", figures.replies(name, RequestCounters.Ending.ERROR));
             json.writeEndObject();
           }
           json.writeEndObject();
           json.writeNumberField("dispatches", figures.dispatches());
           json.writeNumberField("concurrent", dispatcher.unanswered());
-          json.writeNumberField("targets", detachments.listed());
-          json.writeNumberField("targets_disabled", detachments.avoided());
+          json.writeNumberField("targets", detachments.listedCount());
+          json.writeNumberField("targets_disabled", detachments.avoidedCount());
         });
   }
 
@@ -184,7 +185,8 @@
     }
     if (!detachments.hasRoom() && !detachments.isDetached(server)) {
       return Answer.no(
-          HttpResponseStatus.CONFLICT, Detachments.MOST + " cache servers are out: attach some");
+          HttpResponseStatus.CONFLICT,
+          Detachments.MAX_DETACHED + " cache servers are out: attach some");
     }
     // First here, so that it holds at once whatever becomes of the record.
     dispatcher.targets().detach(server);
--- a/src/main/java/beamspread/node/PoolPlan.java
+++ b/src/main/java/beamspread/node/PoolPlan.java
@@ -87,7 +87,7 @@
     }
     Settings.Limits limits = settings.limits();
     int most = serverSockets(descriptors);
-    double tierPart = PoolSettings.tierPart(settings.instances());
+    double tierPart = PoolSettings.shareOfNode(settings.instances());
     int connections = whole("connections", (int) Math.max(1, tierPart), most);
     // Where a request may not have two attempts out, one that is given up must be off its
     // connection before the next goes out: nothing may share it.
@@ -109,7 +109,7 @@
             nanos("age_s", 0, 86_400),
             nanos("suspect_s", SUSPECT_SECONDS, 60),
             nanos("cold_s", settings.contract().warmWithin(), 3600));
-    faults.addAll(plan.faults());
+    faults.addAll(plan.validationErrors());
     if (!faults.isEmpty()) {
       throw new WireException(String.join("; ", faults));
     }
--- a/src/main/java/beamspread/node/Rehearsal.java
+++ b/src/main/java/beamspread/node/Rehearsal.java
@@ -308,7 +308,7 @@
       } else {
         MetaReply reply = (MetaReply) message;
         reply.release();
-        if (reply.following() > 0) {
+        if (reply.followingBytes() > 0) {
           return;
         }
       }
--- a/src/main/java/beamspread/node/RequestAttempt.java
+++ b/src/main/java/beamspread/node/RequestAttempt.java
@@ -35,7 +35,7 @@
   }
 
   @Override
-  protected boolean tooLate(long now) {
+  protected boolean mayTakeEffectTwice(long now) {
     return repeatableUntil != ANY_TIME && now - repeatableUntil >= 0;
   }
 
--- a/src/main/java/beamspread/node/RequestIntake.java
+++ b/src/main/java/beamspread/node/RequestIntake.java
@@ -1,7 +1,7 @@
 package beamspread.node;
 
-import beamspread.loop.LoopWatch;
-import beamspread.maintenance.Figures;
+import beamspread.loop.EventLoopMonitor;
+import beamspread.maintenance.RequestCounters;
 import beamspread.model.Request;
 import beamspread.node.client.ClientHandler;
 import beamspread.node.client.Requests;
@@ -140,7 +140,7 @@
       return null;
     }
     long wait = remaining(command.request, now, sentAt);
-    boolean tooOld = now - sentAt >= LoopWatch.PAUSE_NANOS && wait <= LEAST_WAIT_NANOS;
+    boolean tooOld = now - sentAt >= EventLoopMonitor.PAUSE_NANOS && wait <= LEAST_WAIT_NANOS;
     if (tooOld || !limit.admits(now, open.unanswered())) {
       metrics.refusedEarly(command.request);
       command.release();
@@ -150,7 +150,7 @@
     wait -= reserve.nanos(now, wait);
     VariantKeys.Rewrite rewrite = variants == null ? null : variants.asks(command);
     boolean other = rewrite != null && !rewrite.key().equals(command.request.key());
-    MetaCommand asked = other ? command.about(rewrite.key()) : command;
+    MetaCommand asked = other ? command.withKey(rewrite.key()) : command;
     OpenRequest request = new OpenRequest(asked, slot, sentAt, now + wait);
     request.rewrite = rewrite;
     return begin(request, wait);
@@ -204,7 +204,7 @@
 
   @Override
   public void refused(String serviceClass) {
-    metrics.replied(serviceClass, Figures.Reply.OVERLOAD);
+    metrics.replied(serviceClass, RequestCounters.Ending.OVERLOAD);
   }
 
   @Override
--- a/src/main/java/beamspread/node/RequestMetrics.java
+++ b/src/main/java/beamspread/node/RequestMetrics.java
@@ -1,6 +1,6 @@
 package beamspread.node;
 
-import beamspread.maintenance.Figures;
+import beamspread.maintenance.RequestCounters;
 import beamspread.maintenance.Tally;
 import beamspread.model.Outcome;
 import beamspread.model.Request;
@@ -14,7 +14,7 @@
  * for a tally.
  */
 final class RequestMetrics {
-  private final Figures figures;
+  private final RequestCounters figures;
 
   /** The time in which an answer is wanted, in seconds, by class. */
   private final Map<String, Double> aims = new HashMap<>();
@@ -23,11 +23,11 @@
   private Tally tally;
 
   RequestMetrics(List<Settings.ServiceClass> classes) {
-    figures = new Figures(classes.stream().map(Settings.ServiceClass::name).toList());
+    figures = new RequestCounters(classes.stream().map(Settings.ServiceClass::name).toList());
     classes.forEach(type -> aims.put(type.name(), type.aim()));
   }
 
-  Figures figures() {
+  RequestCounters figures() {
     return figures;
   }
 
@@ -39,23 +39,23 @@
 
   void taken(Request request) {
     if (tally != null) {
-      tally.taken(request.write());
+      tally.requestAccepted(request.write());
     }
   }
 
   void attemptBegins(RequestAttempt attempt) {
     if (tally != null) {
-      tally.sent(attempt.number == 0, attempt.request.age());
+      tally.attemptSent(attempt.number == 0, attempt.request.age());
     }
   }
 
   void attemptWritten() {
-    figures.dispatched();
+    figures.recordDispatch();
   }
 
   void attemptEnded(Outcome outcome, Request request) {
     if (tally != null) {
-      tally.ended(outcome, request.write());
+      tally.attemptEnded(outcome, request.write());
     }
   }
 
@@ -64,16 +64,16 @@
     Request request = open.command.request;
     if (tally != null) {
       double aim = aims.getOrDefault(request.serviceClass(), Double.POSITIVE_INFINITY);
-      tally.served(request.write(), open.age() > aim);
+      tally.requestServed(request.write(), open.age() > aim);
     }
   }
 
   /** A request ends unserved. */
-  void notServed(OpenRequest open, Figures.Reply reply) {
-    if (tally != null && reply == Figures.Reply.OVERLOAD) {
-      tally.refused(open.attempts.isEmpty());
+  void notServed(OpenRequest open, RequestCounters.Ending reply) {
+    if (tally != null && reply == RequestCounters.Ending.OVERLOAD) {
+      tally.requestRefused(open.attempts.isEmpty());
     } else if (tally != null) {
-      tally.failed();
+      tally.requestFailed();
     }
     replied(open.command.request.serviceClass(), reply);
   }
@@ -81,18 +81,18 @@
   /** A request is refused before the decision module hears of it. */
   void refusedEarly(Request request) {
     if (tally != null) {
-      tally.refused(true);
+      tally.requestRefused(true);
     }
-    replied(request.serviceClass(), Figures.Reply.OVERLOAD);
+    replied(request.serviceClass(), RequestCounters.Ending.OVERLOAD);
   }
 
-  void replied(String serviceClass, Figures.Reply reply) {
-    figures.replied(serviceClass, reply);
+  void replied(String serviceClass, RequestCounters.Ending reply) {
+    figures.recordReply(serviceClass, reply);
   }
 
   void clientGone() {
     if (tally != null) {
-      tally.gone();
+      tally.clientDisconnected();
     }
   }
 }
--- a/src/main/java/beamspread/node/StatusSocket.java
+++ b/src/main/java/beamspread/node/StatusSocket.java
@@ -1,6 +1,6 @@
 package beamspread.node;
 
-import beamspread.loop.Listener;
+import beamspread.loop.ListeningSocket;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFutureListener;
@@ -35,7 +35,7 @@
     Path file = Path.of(name);
     clear(file);
     Channel listener =
-        Listener.open(
+        ListeningSocket.open(
             Transport.DOMAIN.server().group(loop),
             UnixDomainSocketAddress.of(file),
             "status socket " + name,
--- a/src/main/java/beamspread/node/Targets.java
+++ b/src/main/java/beamspread/node/Targets.java
@@ -53,7 +53,7 @@
     told.entries().forEach(this::connect);
     module.accept(told);
     // Once the module knows, so that what waited there is not sent there again.
-    gone.forEach(pools::left);
+    gone.forEach(pools::serverLeft);
     told.entries().forEach(this::disconnect);
   }
 
@@ -70,15 +70,15 @@
         entry.startedAt() > 0
             ? System.nanoTime() - (long) (Math.max(0, clock.now() - entry.startedAt()) * 1e9)
             : Long.MIN_VALUE;
-    pools.listed(entry.id(), listed.get(entry.id()).address(), started);
+    pools.serverListed(entry.id(), listed.get(entry.id()).address(), started);
   }
 
   /** Takes back what waits for a connection to a server that gets nothing new. */
   private void disconnect(ServerEntry entry) {
     if (detachments.isDetached(entry.id())) {
-      pools.left(entry.id());
+      pools.serverLeft(entry.id());
     } else if (entry.state() == ServerEntry.State.DRAINING) {
-      pools.drains(entry.id());
+      pools.serverDraining(entry.id());
     }
   }
 
--- a/src/main/java/beamspread/node/client/ClientConnections.java
+++ b/src/main/java/beamspread/node/client/ClientConnections.java
@@ -1,7 +1,7 @@
 package beamspread.node.client;
 
-import beamspread.loop.LoopWatch;
-import beamspread.pool.Rest;
+import beamspread.loop.EventLoopMonitor;
+import beamspread.pool.IdleTimeScale;
 import java.util.Iterator;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -43,10 +43,10 @@
   private static final long FRESH_NANOS = 50_000_000L;
 
   /** Up to a third of its connections a node has few, from two thirds on many. */
-  private static final Rest REST = new Rest(1 / 3.0, 2 / 3.0);
+  private static final IdleTimeScale REST = new IdleTimeScale(1 / 3.0, 2 / 3.0);
 
   private final Limits limits;
-  private final LoopWatch watch;
+  private final EventLoopMonitor watch;
   private final LinkedHashSet<ClientHandler> open = new LinkedHashSet<>();
 
   /** Those that have asked for nothing yet, oldest first. */
@@ -67,7 +67,7 @@
   private int heldByOthers;
 
   /** None yet; the watch is that of the event loop that they are on. */
-  public ClientConnections(Limits limits, LoopWatch watch) {
+  public ClientConnections(Limits limits, EventLoopMonitor watch) {
     this.limits = limits;
     this.watch = watch;
   }
@@ -89,12 +89,12 @@
   /** Nanoseconds that leave out the time in which the event loop did not run. */
   public long idleClock() {
     long now = System.nanoTime();
-    return now - watch.lostNanos(now);
+    return now - watch.pausedNanos(now);
   }
 
   /** How long what is read now may have lain in its socket, 0 where the loop keeps up. */
   long unreadNanos(long now) {
-    return watch.unreadNanos(now);
+    return watch.maxUnreadNanos(now);
   }
 
   /** The number of the event loop's turn. */
@@ -118,7 +118,7 @@
    */
   long restNanos() {
     double full = (double) open.size() / most();
-    return REST.nanos(full, limits.idleNanos(), limits.crowdedNanos());
+    return REST.idleTimeNanos(full, limits.idleNanos(), limits.crowdedNanos());
   }
 
   /**
--- a/src/main/java/beamspread/node/client/ClientHandler.java
+++ b/src/main/java/beamspread/node/client/ClientHandler.java
@@ -1,6 +1,6 @@
 package beamspread.node.client;
 
-import beamspread.loop.SocketLook;
+import beamspread.loop.SocketPolling;
 import beamspread.node.wire.MetaCommand;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
@@ -288,7 +288,7 @@
 
   /** Whether nothing is owed here and nothing has begun to come. */
   private boolean quiet() {
-    return slots.isEmpty() && !decoder.midway() && !closing;
+    return slots.isEmpty() && !decoder.isIncomplete() && !closing;
   }
 
   /**
@@ -297,12 +297,12 @@
    */
   boolean looksQuiet() {
     heard = false;
-    SocketLook.read(channel);
+    SocketPolling.readNow(channel);
     return !heard && quiet();
   }
 
   private boolean mayLook() {
-    return channel.isActive() && decoder.held() <= MAX_HELD;
+    return channel.isActive() && decoder.heldBytes() <= MAX_HELD;
   }
 
   private boolean left() {
@@ -310,9 +310,9 @@
     if (!reading && unread > JUST_READ_NANOS) {
       // Each look reads one piece at least, and the close lies behind the last.
       long before = -1;
-      for (int i = 0; i < LOOK_PIECES && decoder.pieces() > before && mayLook(); i++) {
-        before = decoder.pieces();
-        SocketLook.read(channel);
+      for (int i = 0; i < LOOK_PIECES && decoder.readCount() > before && mayLook(); i++) {
+        before = decoder.readCount();
+        SocketPolling.readNow(channel);
       }
     }
     return !channel.isActive();
@@ -352,7 +352,7 @@
     boolean crowded = !closing && slots.size() >= MAX_OWED;
     boolean taken = closing ? decoder.mayDiscard() : channel.isWritable();
     channel.config().setAutoRead(taken && !crowded);
-    if (decoder.hold(crowded) && !crowded) {
+    if (decoder.setHolding(crowded) && !crowded) {
       // As a task, since this may run within the decoder.
       channel
           .eventLoop()
@@ -370,14 +370,14 @@
       return;
     }
     // Each look reads one piece only, and the close lies behind the last.
-    for (int before = -1; channel.isActive() && decoder.held() > before; ) {
-      before = decoder.held();
-      SocketLook.read(channel);
+    for (int before = -1; channel.isActive() && decoder.heldBytes() > before; ) {
+      before = decoder.heldBytes();
+      SocketPolling.readNow(channel);
       if (before > MAX_HELD) {
         break;
       }
     }
-    if (channel.isActive() && !closing && decoder.held() > MAX_HELD) {
+    if (channel.isActive() && !closing && decoder.heldBytes() > MAX_HELD) {
       // A close behind still more could not be seen without keeping all of it.
       turnAway("SERVER_ERROR too many commands");
     }
@@ -414,7 +414,7 @@
     if (slots.size() >= MAX_OWED) {
       steer();
     }
-    if (command.reply == null
+    if (command.immediateReply == null
         && slots.size() <= MAX_OPEN
         && connections.mayTake(command.request.budget())) {
       strikes = 0;
@@ -424,10 +424,10 @@
     if (command.request != null) {
       requests.refused(command.request.serviceClass());
     }
-    boolean wrong = command.request == null && !command.reply.equals("MN");
+    boolean wrong = command.request == null && !command.immediateReply.equals("MN");
     strikes = wrong ? strikes + 1 : 0;
     command.release();
-    end(slot, command.reply, command.lost || strikes >= MAX_STRIKES);
+    end(slot, command.immediateReply, command.framingLost || strikes >= MAX_STRIKES);
   }
 
   /** How long a request that is read now may have lain unread. */
@@ -443,7 +443,7 @@
     slot.last = last;
     closing |= last;
     if (last) {
-      decoder.giveUp();
+      decoder.discardInput();
     }
     slot.line(reply == null ? "SERVER_ERROR busy" : reply);
   }
@@ -460,7 +460,7 @@
   public void channelReadComplete(ChannelHandlerContext ctx) {
     reading = false;
     readAt = System.nanoTime();
-    if (decoder.midway() && decoder.held() == 0) {
+    if (decoder.isIncomplete() && decoder.heldBytes() == 0) {
       midwaySince = midwaySince == 0 ? System.nanoTime() : midwaySince;
       connections.busy(this);
     }
@@ -513,7 +513,7 @@
   void dropLingering() {
     // What is still unread would turn the close into a reset, which can cost the client the line
     // that tells why.
-    SocketLook.read(channel);
+    SocketPolling.readNow(channel);
     channel.close();
   }
 
@@ -581,7 +581,7 @@
     stalledAt = channel.bytesBeforeWritable();
     if (stalledSince != 0 && now - stalledSince > limits.stallNanos()) {
       // It may have read on while this node did not run.
-      SocketLook.write(channel);
+      SocketPolling.writeNow(channel);
       if (stalledSince != 0) {
         channel.close();
       }
@@ -612,8 +612,8 @@
   /** Turns away a client whose command is still not whole after a look at what has come. */
   private void turnAwayIfMidway() {
     long before = midwaySince;
-    SocketLook.read(channel);
-    if (midwaySince == before && decoder.midway() && channel.isActive()) {
+    SocketPolling.readNow(channel);
+    if (midwaySince == before && decoder.isIncomplete() && channel.isActive()) {
       turnAway("CLIENT_ERROR command not finished");
     }
   }
--- a/src/main/java/beamspread/node/discovery/DiscoveryCall.java
+++ b/src/main/java/beamspread/node/discovery/DiscoveryCall.java
@@ -1,6 +1,6 @@
 package beamspread.node.discovery;
 
-import beamspread.loop.SocketLook;
+import beamspread.loop.SocketPolling;
 import beamspread.sim.Message;
 import beamspread.sim.WireException;
 import io.netty.bootstrap.Bootstrap;
@@ -208,7 +208,7 @@
       stoodNanos += System.nanoTime() - lookAt;
       // It may have spoken while this node did not run: the timer is due before the socket is
       // looked at.
-      SocketLook.read(connecting.channel());
+      SocketPolling.readNow(connecting.channel());
       if (!over && overdue()) {
         failOverdue();
       }
--- a/src/main/java/beamspread/node/mgmt/MgmtServer.java
+++ b/src/main/java/beamspread/node/mgmt/MgmtServer.java
@@ -1,6 +1,6 @@
 package beamspread.node.mgmt;
 
-import beamspread.loop.Listener;
+import beamspread.loop.ListeningSocket;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBufAllocator;
 import io.netty.channel.Channel;
@@ -54,7 +54,7 @@
       throws IOException, InterruptedException {
     this.patienceMillis = patienceMillis;
     listener =
-        Listener.open(
+        ListeningSocket.open(
             sockets.group(loop).childOption(ChannelOption.ALLOCATOR, allocator),
             address,
             "cannot listen on mgmt " + address,
--- a/src/main/java/beamspread/node/relay/ValueRelays.java
+++ b/src/main/java/beamspread/node/relay/ValueRelays.java
@@ -39,10 +39,10 @@
    */
   public ValueSink begin(MetaReply head, ValueSource source, ClientHandler.Slot slot, Ended ended) {
     Passage passage = new Passage(source, slot, ended);
-    passage.relay = relays.begin(clock.getAsLong(), head.following(), passage);
+    passage.relay = relays.begin(clock.getAsLong(), head.followingBytes(), passage);
     passing++;
     ByteBuf line = slot.alloc().buffer(head.id().length() + 24);
-    ByteBufUtil.writeAscii(line, "VA " + head.following() + " O" + head.id());
+    ByteBufUtil.writeAscii(line, "VA " + head.followingBytes() + " O" + head.id());
     if (!slot.begin(line.writeShort(0x0D0A), passage)) {
       passage.clientGone();
     }
@@ -79,9 +79,9 @@
     // What the cache server does.
 
     @Override
-    public void part(ByteBuf bytes) {
+    public void partReceived(ByteBuf bytes) {
       int size = bytes.readableBytes();
-      if (size > 0 && relay.came(clock.getAsLong(), size)) {
+      if (size > 0 && relay.received(clock.getAsLong(), size)) {
         slot.part(bytes);
       } else {
         bytes.release();
@@ -89,56 +89,56 @@
     }
 
     @Override
-    public void whole() {
-      relay.whole(clock.getAsLong());
+    public void completed() {
+      relay.completed(clock.getAsLong());
     }
 
     @Override
-    public void broken() {
-      relay.broken();
+    public void aborted() {
+      relay.aborted();
     }
 
     // What the client does.
 
     @Override
     public void turn() {
-      relay.turn(clock.getAsLong());
+      relay.clientReady(clock.getAsLong());
     }
 
     @Override
     public void taken(int bytes) {
-      relay.taken(clock.getAsLong(), bytes);
+      relay.delivered(clock.getAsLong(), bytes);
     }
 
     @Override
     public void clientGone() {
-      relay.clientGone(clock.getAsLong());
+      relay.clientDisconnected(clock.getAsLong());
     }
 
     // What is decided.
 
     @Override
-    public void reading(boolean on) {
-      source.reading(on);
+    public void setReading(boolean on) {
+      source.setReading(on);
     }
 
     @Override
-    public boolean shared() {
-      return source.shared();
+    public boolean isShared() {
+      return source.isShared();
     }
 
     @Override
-    public void closeServer() {
+    public void closeServerConnection() {
       source.close();
     }
 
     @Override
-    public void cut() {
+    public void cutClient() {
       slot.cut("SERVER_ERROR failed");
     }
 
     @Override
-    public void over(boolean whole) {
+    public void ended(boolean whole) {
       passing--;
       ended.over(whole);
       if (whole) {
--- a/src/main/java/beamspread/node/server/Attempt.java
+++ b/src/main/java/beamspread/node/server/Attempt.java
@@ -2,58 +2,58 @@
 
 import beamspread.node.wire.MetaCommand;
 
-/** One send of a request to one cache server. */
+/** One attempt to send a request to one cache server. */
 public abstract class Attempt {
-  /** The number that the module knows the server by. */
+  /** The server's number in the decision module. */
   public final long server;
 
-  /** When it was sent, and when this node stops waiting for it. */
+  /** When it was sent and when this node stops waiting for it, by {@link System#nanoTime}. */
   public final long sentAt = System.nanoTime();
 
   public final long deadlineNanos;
 
-  /** Whether it must not be lost with others on its connection: it can't be repeated. */
-  public final boolean guarded;
+  /** Whether it can't be repeated, so that it must not be lost with others on its connection. */
+  public final boolean unrepeatable;
 
-  /** The connection that it was written to, null while it waits for one. */
-  ServerLink link;
+  /** The connection that it was assigned to, null while it waits for one. */
+  ServerConnection connection;
 
   long writtenAt;
 
-  /** Whether its last byte was handed to the socket: from then on it may have run. */
-  boolean written;
+  /** Whether its last byte was passed to the socket; from then on it may have run. */
+  boolean fullyWritten;
 
-  /** Whether its outcome is settled; what the server says of it after that is dropped. */
-  private boolean over;
+  /** Whether its outcome is settled; a later reply is dropped. */
+  private boolean settled;
 
-  protected Attempt(long server, long deadlineNanos, boolean guarded) {
+  protected Attempt(long server, long deadlineNanos, boolean unrepeatable) {
     this.server = server;
     this.deadlineNanos = deadlineNanos;
-    this.guarded = guarded;
+    this.unrepeatable = unrepeatable;
   }
 
-  /** What is written. */
+  /** Returns the command to write. */
   protected abstract MetaCommand command();
 
-  /** Whether to write it now could have an effect twice. */
-  protected boolean tooLate(long now) {
+  /** Returns whether writing it now could take effect twice. */
+  protected boolean mayTakeEffectTwice(long now) {
     return false;
   }
 
-  /** Whether its outcome is settled. */
-  public final boolean over() {
-    return over;
+  /** Returns whether its outcome is settled. */
+  public final boolean isSettled() {
+    return settled;
   }
 
-  /** Settles its outcome; false if it was settled before. */
+  /** Settles its outcome; returns false if it was settled before. */
   public final boolean settle() {
-    boolean first = !over;
-    over = true;
+    boolean first = !settled;
+    settled = true;
     return first;
   }
 
-  /** Whether it was given to a connection. */
-  public final boolean sent() {
-    return link != null;
+  /** Returns whether it was assigned to a connection. */
+  public final boolean hasConnection() {
+    return connection != null;
   }
 }
--- /dev/null
+++ b/src/main/java/beamspread/node/server/AttemptListener.java
@@ -0,0 +1,32 @@
+package beamspread.node.server;
+
+import beamspread.model.Outcome;
+import beamspread.node.wire.MetaReply;
+
+/** Receives the progress and outcome of attempts. */
+public interface AttemptListener {
+  /**
+   * Returns whether an attempt about to be written is still wanted: its request has no final
+   * answer, and its client is connected.
+   */
+  boolean isWanted(Attempt attempt);
+
+  /** Called when an attempt was written in full; from then on it may have run. */
+  void attemptWritten(Attempt attempt);
+
+  /** Called when an attempt ended without an answer, or with one that can't be served. */
+  void attemptEnded(Attempt attempt, Outcome.Result result);
+
+  /** Called for a reply to an attempt, which may be settled by now. */
+  void replyReceived(Attempt attempt, MetaReply reply);
+
+  /**
+   * Called for the head of a large value for an attempt, which may be settled by now.
+   *
+   * @return the receiver of the value, null if it is not wanted
+   */
+  ValueSink valueStarted(Attempt attempt, MetaReply head, ValueSource source);
+
+  /** Reports an internal error of the program. */
+  void report(String component, Throwable cause);
+}
--- a/src/main/java/beamspread/node/server/ServerPools.java
+++ b/src/main/java/beamspread/node/server/ServerPools.java
@@ -15,166 +15,177 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Carries out what {@link Pools} decides about the connections to all cache servers, each known by
- * the number that the module uses. All of it runs on the event loop.
+ * Carries out the actions of {@link Pools} for the connections to all cache servers, each
+ * identified by its number in the decision module. Runs on the event loop only.
  */
 public final class ServerPools implements PoolActions<Attempt> {
   private final Executor loop;
   private final Bootstrap bootstrap;
-  private final Outcomes outcomes;
-  private final long stuckNanos;
+  private final AttemptListener listener;
+  private final long maxReplyStallNanos;
   private final Pools<Attempt> pools;
-  private final Map<Long, SocketAddress> servers = new HashMap<>();
-  private final Map<Long, ServerLink> links = new HashMap<>();
+  private final Map<Long, SocketAddress> addresses = new HashMap<>();
+  private final Map<Long, ServerConnection> connections = new HashMap<>();
   private long opened;
-  private long turnedDown;
+  private long failedOpens;
 
   /**
-   * @param stuckNanos how long a reply may be half here
+   * @param maxReplyStallNanos how long an incomplete reply may stall
    * @param random numbers from 0 to 1
    */
   public ServerPools(
       Executor loop,
       Bootstrap bootstrap,
       PoolSettings settings,
-      long stuckNanos,
+      long maxReplyStallNanos,
       DoubleSupplier random,
-      Outcomes outcomes) {
+      AttemptListener listener) {
     this.loop = loop;
     this.bootstrap = bootstrap;
-    this.outcomes = outcomes;
-    this.stuckNanos = stuckNanos;
+    this.listener = listener;
+    this.maxReplyStallNanos = maxReplyStallNanos;
     this.pools = new Pools<>(settings, random, this);
   }
 
   /**
-   * The list has a server here.
+   * Adds or updates a server of the list.
    *
    * @param startedAt when its process started, {@link Long#MIN_VALUE} for long ago
    */
-  public void listed(long server, SocketAddress address, long startedAt) {
-    SocketAddress before = servers.put(server, address);
-    pools.listed(server, before != null && !before.equals(address), startedAt);
+  public void serverListed(long server, SocketAddress address, long startedAt) {
+    SocketAddress previousAddress = addresses.put(server, address);
+    pools.serverListed(
+        server, previousAddress != null && !previousAddress.equals(address), startedAt);
   }
 
-  /** A server drains: what still waits for a connection to it goes elsewhere. */
-  public void drains(long server) {
-    pools.drains(server);
+  /**
+   * Fails the attempts that wait for a connection to a draining server, so that they go to another.
+   */
+  public void serverDraining(long server) {
+    pools.serverDraining(server);
   }
 
-  /** A server has left. */
-  public void left(long server) {
-    if (servers.remove(server) != null) {
-      pools.left(server);
+  /** Removes a server that has left the list. */
+  public void serverLeft(long server) {
+    if (addresses.remove(server) != null) {
+      pools.serverLeft(server);
     }
   }
 
-  /** Sockets to cache servers: open, coming up, or being given up. */
-  public int sockets() {
-    return pools.sockets();
+  /** Returns the number of sockets to cache servers: open, opening or retiring. */
+  public int socketCount() {
+    return pools.socketCount();
   }
 
-  /** Connections that have come up since the start. */
+  /** Returns how many connections were established since the start. */
   public long opened() {
     return opened;
   }
 
-  /** Connections that have not come up since the start. */
-  public long turnedDown() {
-    return turnedDown;
+  /** Returns how many connections could not be opened since the start. */
+  public long failedOpens() {
+    return failedOpens;
   }
 
-  /** Goes on by other settings. */
-  public void use(PoolSettings settings) {
-    pools.use(settings);
+  /** Applies changed settings. */
+  public void applySettings(PoolSettings settings) {
+    pools.applySettings(settings);
   }
 
-  /** Finds a connection for an attempt. */
+  /** Sends an attempt on a connection to its server. */
   public void send(Attempt attempt) {
-    pools.send(System.nanoTime(), attempt.server, attempt, attempt.guarded);
+    pools.send(System.nanoTime(), attempt.server, attempt, attempt.unrepeatable);
   }
 
-  /** Takes in whether an attempt has been answered by now; only from a task of the loop. */
-  public void look(Attempt attempt) {
-    if (attempt.link != null) {
-      attempt.link.look();
+  /**
+   * Reads the attempt's socket now, in case its answer has arrived; only from a task of the loop.
+   */
+  public void readNow(Attempt attempt) {
+    if (attempt.connection != null) {
+      attempt.connection.readNow();
     }
   }
 
-  /** Stops waiting for an attempt; {@code overdue} if the server has not answered it in time. */
+  /**
+   * Stops waiting for an attempt.
+   *
+   * @param overdue whether the server has not answered in time
+   */
   public void withdraw(Attempt attempt, boolean overdue) {
-    if (attempt.link == null) {
-      pools.forget(attempt.server, attempt);
-    } else if (attempt.link.has(attempt)) {
-      pools.abandoned(attempt.link.id, attempt.sentAt, overdue);
+    if (attempt.connection == null) {
+      pools.withdrawWaiting(attempt.server, attempt);
+    } else if (attempt.connection.hasInFlight(attempt)) {
+      pools.attemptAbandoned(attempt.connection.id, attempt.sentAt, overdue);
     }
   }
 
-  /** Closes the connections to a server on which nothing is under way. */
+  /** Closes the free connections to a server. */
   public void closeIdle(long server) {
     pools.closeIdle(server);
   }
 
-  /** Closes what has outlived its time. */
+  /** Closes expired connections and those with a stalled reply. */
   public void sweep(long now) {
     pools.tick(now);
-    List.copyOf(links.values()).forEach(link -> link.closeIfStuck(now, stuckNanos));
+    List.copyOf(connections.values())
+        .forEach(connection -> connection.closeIfStalled(now, maxReplyStallNanos));
   }
 
-  // What the pools decide.
+  // Actions of the pools.
 
   @Override
-  public void open(long server, long id) {
-    ServerLink link = new ServerLink(id, pools, outcomes, () -> links.remove(id));
-    ChannelFuture future = link.open(bootstrap, servers.get(server));
+  public void open(long server, long connectionId) {
+    ServerConnection connection =
+        new ServerConnection(connectionId, pools, listener, () -> connections.remove(connectionId));
+    ChannelFuture future = connection.open(bootstrap, addresses.get(server));
     if (future.isDone()) {
-      // The pools are told nothing from within a decision of theirs.
-      loop.execute(() -> opened(link, future));
+      // Results are never reported to the pools from within one of their actions.
+      loop.execute(() -> opened(connection, future));
     } else {
-      future.addListener(done -> opened(link, future));
+      future.addListener(done -> opened(connection, future));
     }
   }
 
-  private void opened(ServerLink link, ChannelFuture future) {
+  private void opened(ServerConnection connection, ChannelFuture future) {
     if (future.isSuccess()) {
       opened++;
-      links.put(link.id, link);
-      pools.opened(System.nanoTime(), link.id);
+      connections.put(connection.id, connection);
+      pools.connectionOpened(System.nanoTime(), connection.id);
     } else {
-      turnedDown++;
-      boolean silent = future.cause() instanceof ConnectTimeoutException;
-      pools.notOpened(System.nanoTime(), link.id, silent);
+      failedOpens++;
+      boolean timedOut = future.cause() instanceof ConnectTimeoutException;
+      pools.connectionFailed(System.nanoTime(), connection.id, timedOut);
     }
   }
 
   @Override
-  public boolean write(long link, Attempt attempt) {
-    if (!outcomes.wanted(attempt)) {
-      // Its value may be gone, and nobody wants its answer.
-      outcomes.ended(attempt, Outcome.Result.MOOT);
+  public boolean write(long connectionId, Attempt attempt) {
+    if (!listener.isWanted(attempt)) {
+      // Its value may have been released, and its answer is not needed.
+      listener.attemptEnded(attempt, Outcome.Result.MOOT);
       return false;
     }
-    if (attempt.tooLate(System.nanoTime())) {
-      outcomes.ended(attempt, Outcome.Result.CONNECT_FAILED);
+    if (attempt.mayTakeEffectTwice(System.nanoTime())) {
+      listener.attemptEnded(attempt, Outcome.Result.CONNECT_FAILED);
       return false;
     }
-    links.get(link).write(attempt);
+    connections.get(connectionId).write(attempt);
     return true;
   }
 
   @Override
-  public void close(long link) {
-    links.get(link).close();
+  public void close(long connectionId) {
+    connections.get(connectionId).close();
   }
 
   @Override
-  public void full(Attempt attempt) {
-    // As the server itself says where it takes no more connections: it has never run.
-    outcomes.ended(attempt, Outcome.Result.FULL);
+  public void rejectFull(Attempt attempt) {
+    // The same outcome as when the server itself answers busy: the attempt has never run.
+    listener.attemptEnded(attempt, Outcome.Result.FULL);
   }
 
   @Override
-  public void unreachable(Attempt attempt) {
-    outcomes.ended(attempt, Outcome.Result.CONNECT_FAILED);
+  public void rejectUnreachable(Attempt attempt) {
+    listener.attemptEnded(attempt, Outcome.Result.CONNECT_FAILED);
   }
 }
--- a/src/main/java/beamspread/node/server/ValueSink.java
+++ b/src/main/java/beamspread/node/server/ValueSink.java
@@ -2,14 +2,14 @@
 
 import io.netty.buffer.ByteBuf;
 
-/** Where the parts of a large value go. After {@link #whole} or {@link #broken} nothing comes. */
+/** Receives the parts of a large value. Nothing follows {@link #completed} or {@link #aborted}. */
 public interface ValueSink {
-  /** The next bytes, which it takes over. */
-  void part(ByteBuf bytes);
+  /** Receives the next bytes and takes over their ownership. */
+  void partReceived(ByteBuf bytes);
 
-  /** The value has come in full. */
-  void whole();
+  /** Called when the value is complete. */
+  void completed();
 
-  /** The connection has ended within the value, or what came makes no sense. */
-  void broken();
+  /** Called when the connection ended within the value, or sent invalid data. */
+  void aborted();
 }
--- a/src/main/java/beamspread/node/server/ValueSource.java
+++ b/src/main/java/beamspread/node/server/ValueSource.java
@@ -1,13 +1,16 @@
 package beamspread.node.server;
 
-/** The connection that a large value comes on, for as long as it does. */
+/** The connection that a large value is received on, for as long as it is. */
 public interface ValueSource {
-  /** Reads on, or leaves what comes in the socket, so that the cache server is held up. */
-  void reading(boolean on);
+  /**
+   * Resumes or pauses reading; while paused, data stays in the socket and holds up the cache
+   * server.
+   */
+  void setReading(boolean enabled);
 
-  /** Whether other attempts wait for answers behind the value. */
-  boolean shared();
+  /** Returns whether other attempts wait for answers behind the value. */
+  boolean isShared();
 
-  /** Gives the connection up. */
+  /** Closes the connection. */
   void close();
 }
--- a/src/main/java/beamspread/node/variants/VariantTraffic.java
+++ b/src/main/java/beamspread/node/variants/VariantTraffic.java
@@ -55,20 +55,20 @@
     }
 
     @Override
-    public void part(ByteBuf bytes) {
+    public void partReceived(ByteBuf bytes) {
       hash.add(bytes.nioBuffer());
-      sink.part(bytes);
+      sink.partReceived(bytes);
     }
 
     @Override
-    public void whole() {
+    public void completed() {
       keys.answered(System.nanoTime(), asked, hash.build());
-      sink.whole();
+      sink.completed();
     }
 
     @Override
-    public void broken() {
-      sink.broken();
+    public void aborted() {
+      sink.aborted();
     }
   }
 }
--- a/src/main/java/beamspread/node/wire/Json.java
+++ b/src/main/java/beamspread/node/wire/Json.java
@@ -8,18 +8,18 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** JSON objects that a node writes, on one line each. */
+/** Writes JSON objects, each on one line. */
 public final class Json {
   private static final JsonFactory FACTORY = new JsonFactory();
 
-  /** What goes into an object. */
+  /** Writes the fields of an object. */
   public interface Fields {
     void write(JsonGenerator json) throws IOException;
   }
 
   private Json() {}
 
-  /** An object of these fields. */
+  /** Returns an object with these fields. */
   public static String object(Fields fields) {
     StringWriter text = new StringWriter();
     try (JsonGenerator json = FACTORY.createGenerator(text)) {
@@ -32,7 +32,7 @@
     return text.toString();
   }
 
-  /** Writes a field with a count for each kind, under the kinds' names in lower case. */
+  /** Writes an object field with one count for each enum constant, named in lower case. */
   public static <K extends Enum<K>> void writeCounts(
       JsonGenerator json, String field, Map<K, Long> counts) throws IOException {
     json.writeObjectFieldStart(field);
@@ -42,7 +42,7 @@
     json.writeEndObject();
   }
 
-  /** An object of one text. */
+  /** Returns an object with one text field. */
   public static String object(String name, String value) {
     return object(json -> json.writeStringField(name, value));
   }
--- a/src/main/java/beamspread/node/wire/MemoryBudget.java
+++ b/src/main/java/beamspread/node/wire/MemoryBudget.java
@@ -1,6 +1,6 @@
 package beamspread.node.wire;
 
-/** Bytes of values that the node may hold at once, over all connections together. */
+/** Limits the bytes of values that the node holds at once, over all connections together. */
 public final class MemoryBudget {
   private long free;
 
--- a/src/main/java/beamspread/node/wire/MetaCommand.java
+++ b/src/main/java/beamspread/node/wire/MetaCommand.java
@@ -12,31 +12,31 @@
 import java.util.Map;
 
 /**
- * A command as a client sent it. A write keeps its value until the request has ended, for a second
- * attempt; the budget bounds what all of them keep.
+ * A command from a client. A write keeps its value until the request has ended, for a second
+ * attempt; the memory budget limits the total size of these values.
  */
 public final class MetaCommand {
-  /** Longest key, as in memcached. */
-  private static final int MAX_KEY = 250;
+  /** Longest key in bytes, as in memcached. */
+  private static final int MAX_KEY_BYTES = 250;
 
-  private static final int MAX_ID = 64;
+  private static final int MAX_ID_BYTES = 64;
 
-  /** Where the key begins in the line, behind the command and a space. */
+  /** Offset of the key in the line, behind the command and a space. */
   private static final int KEY_START = 3;
 
-  /** Bytes dropped from a client that was turned away, before its sending is held up. */
-  private static final int MAX_DISCARDED = 1 << 18;
+  /** Bytes dropped from a client whose input was rejected, before reading from it pauses. */
+  private static final int MAX_DISCARDED_BYTES = 1 << 18;
 
-  /** Longest deadline in milliseconds that is believed: an hour. */
-  private static final int MAX_DEADLINE = 3_600_000;
+  /** Longest accepted deadline in milliseconds: an hour. */
+  private static final int MAX_DEADLINE_MILLIS = 3_600_000;
 
-  /** What to answer at once, null for a request that goes to a cache server. */
-  public final String reply;
+  /** Immediate answer, null for a request that is sent to a cache server. */
+  public final String immediateReply;
 
-  /** Whether the client's bytes can no longer be told apart, so that its connection must close. */
-  public final boolean lost;
+  /** Whether the next command can't be located any more, so that the connection must close. */
+  public final boolean framingLost;
 
-  /** The request; null where the command makes no sense. */
+  /** The request; null if the command is invalid. */
   public final Request request;
 
   private final byte[] line;
@@ -45,20 +45,20 @@
   private final MemoryBudget budget;
   private ByteBuf value;
 
-  private MetaCommand(String reply, boolean lost) {
-    this(reply, lost, null, null, 0, 0, null);
+  private MetaCommand(String immediateReply, boolean framingLost) {
+    this(immediateReply, framingLost, null, null, 0, 0, null);
   }
 
   private MetaCommand(
-      String reply,
-      boolean lost,
+      String immediateReply,
+      boolean framingLost,
       Request request,
       byte[] line,
       int deadlineStart,
       int deadlineEnd,
       MemoryBudget budget) {
-    this.reply = reply;
-    this.lost = lost;
+    this.immediateReply = immediateReply;
+    this.framingLost = framingLost;
     this.request = request;
     this.line = line;
     this.deadlineStart = deadlineStart;
@@ -67,11 +67,12 @@
   }
 
   /**
-   * The bytes for a cache server: the client's own, but for the deadline, which tells how long this
-   * node will wait.
+   * Encodes the command for a cache server: the client's own bytes, except that the deadline is the
+   * time for which this node will wait.
    */
-  public ByteBuf encode(ByteBufAllocator allocator, long millis) {
-    byte[] deadline = Long.toString(Math.max(1, millis)).getBytes(StandardCharsets.US_ASCII);
+  public ByteBuf encode(ByteBufAllocator allocator, long deadlineMillis) {
+    byte[] deadline =
+        Long.toString(Math.max(1, deadlineMillis)).getBytes(StandardCharsets.US_ASCII);
     ByteBuf head = allocator.buffer(line.length + deadline.length + 2);
     head.writeBytes(line, 0, deadlineStart).writeBytes(deadline);
     head.writeBytes(line, deadlineEnd, line.length - deadlineEnd).writeShort(0x0D0A);
@@ -80,28 +81,29 @@
         : allocator.compositeBuffer(2).addComponents(true, head, value.retainedDuplicate());
   }
 
-  /**
-   * The same read of another key: the client's own line but for that. It takes this one's place.
-   */
-  public MetaCommand about(String key) {
+  /** Returns the same read with another key. It replaces this command. */
+  public MetaCommand withKey(String key) {
     byte[] bytes = key.getBytes(StandardCharsets.ISO_8859_1);
-    int end = KEY_START + request.key().length();
-    int longer = bytes.length - request.key().length();
-    byte[] other = new byte[line.length + longer];
-    System.arraycopy(line, 0, other, 0, KEY_START);
-    System.arraycopy(bytes, 0, other, KEY_START, bytes.length);
-    System.arraycopy(line, end, other, end + longer, line.length - end);
+    int keyEnd = KEY_START + request.key().length();
+    int lengthChange = bytes.length - request.key().length();
+    byte[] newLine = new byte[line.length + lengthChange];
+    System.arraycopy(line, 0, newLine, 0, KEY_START);
+    System.arraycopy(bytes, 0, newLine, KEY_START, bytes.length);
+    System.arraycopy(line, keyEnd, newLine, keyEnd + lengthChange, line.length - keyEnd);
     return new MetaCommand(
         null,
         false,
         request.about(key),
-        other,
-        deadlineStart + longer,
-        deadlineEnd + longer,
+        newLine,
+        deadlineStart + lengthChange,
+        deadlineEnd + lengthChange,
         budget);
   }
 
-  /** Lets the value go: no further attempt can follow. Those being written keep their own hold. */
+  /**
+   * Releases the value, since no further attempt can follow. Attempts being written hold their own
+   * reference.
+   */
   public void release() {
     if (value != null) {
       budget.release(value.capacity());
@@ -111,76 +113,81 @@
   }
 
   /**
-   * Reads commands off a client's connection, however its bytes are cut. Guards the cache servers
-   * against what they cannot read: they close a connection on it, with all that others wait for
-   * there. So only the protocol's own form goes on, and classes that the settings name. It could do
-   * harm where clients are given new flags: this reader must learn them first.
+   * Decodes commands from a client's connection, in pieces of any size. Cache servers close a
+   * connection on input that they can't parse, which breaks all attempts in flight on it; therefore
+   * only the protocol's exact syntax is passed on, and only classes of the settings. New flags must
+   * be added here before clients use them.
    */
   public static final class Decoder extends ByteToMessageDecoder {
-    private static final MetaCommand HELLO = new MetaCommand("MN", false);
-    private static final MetaCommand UNKNOWN = new MetaCommand("ERROR", false);
+    private static final MetaCommand NO_OP_REPLY = new MetaCommand("MN", false);
+    private static final MetaCommand UNKNOWN_COMMAND_REPLY = new MetaCommand("ERROR", false);
 
     private final MemoryBudget budget;
     private final Map<String, Settings.ServiceClass> classes = new HashMap<>();
 
-    /** The write whose value is being read, and how many bytes with its CRLF are still to come. */
-    private MetaCommand write;
+    /**
+     * The write whose value is being read, and how many bytes of it, CRLF included, are missing.
+     */
+    private MetaCommand pendingWrite;
 
-    private int missing;
-    private boolean lost;
-    private int discarded;
+    private int remainingBytes;
+    private boolean framingLost;
+    private int discardedBytes;
     private boolean holding;
-    private long pieces;
+    private long readCount;
 
-    public Decoder(MemoryBudget budget, List<Settings.ServiceClass> services) {
+    public Decoder(MemoryBudget budget, List<Settings.ServiceClass> serviceClasses) {
       this.budget = budget;
-      services.forEach(service -> classes.put(service.name(), service));
+      serviceClasses.forEach(serviceClass -> classes.put(serviceClass.name(), serviceClass));
     }
 
-    /** Whether a command has begun and not ended. */
-    public boolean midway() {
-      return !lost && (write != null || actualReadableBytes() > 0);
+    /** Returns whether a command has begun and not ended. */
+    public boolean isIncomplete() {
+      return !framingLost && (pendingWrite != null || actualReadableBytes() > 0);
     }
 
-    /** Pieces of bytes that have come. */
-    public long pieces() {
-      return pieces;
+    /** Returns how many reads have delivered data. */
+    public long readCount() {
+      return readCount;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object bytes) throws Exception {
-      pieces++;
+      readCount++;
       super.channelRead(ctx, bytes);
     }
 
-    /** Keeps what comes as it is, or reads on; whether it kept anything back until now. */
-    public boolean hold(boolean on) {
-      boolean kept = holding && actualReadableBytes() > 0;
-      holding = on;
-      return kept;
+    /**
+     * Stops or resumes decoding; meanwhile input is kept. Returns whether any input was kept until
+     * now.
+     */
+    public boolean setHolding(boolean enabled) {
+      boolean heldAny = holding && actualReadableBytes() > 0;
+      holding = enabled;
+      return heldAny;
     }
 
-    /** Bytes that are kept back. */
-    public int held() {
+    /** Returns the number of bytes kept undecoded. */
+    public int heldBytes() {
       return holding ? actualReadableBytes() : 0;
     }
 
-    /** Reads no more commands: what comes is dropped. */
-    public void giveUp() {
-      lost = true;
+    /** Stops decoding for good; further input is dropped. */
+    public void discardInput() {
+      framingLost = true;
       holding = false;
-      dropWrite();
+      releasePendingWrite();
     }
 
-    /** Whether more may be dropped: a flood is better left in the socket. */
+    /** Returns whether more may be dropped; beyond the limit input is left in the socket. */
     public boolean mayDiscard() {
-      return discarded < MAX_DISCARDED;
+      return discardedBytes < MAX_DISCARDED_BYTES;
     }
 
     @Override
     protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
-      if (lost) {
-        discarded = Math.min(MAX_DISCARDED, discarded + in.readableBytes());
+      if (framingLost) {
+        discardedBytes = Math.min(MAX_DISCARDED_BYTES, discardedBytes + in.readableBytes());
         in.skipBytes(in.readableBytes());
         return;
       }
@@ -188,25 +195,28 @@
         return;
       }
       try {
-        if (write != null) {
+        if (pendingWrite != null) {
           readValue(in, out);
           return;
         }
         MetaLine line = MetaLine.read(in);
         if (line != null) {
           MetaCommand command = parse(ctx.alloc(), line);
-          if (write == null) {
+          if (pendingWrite == null) {
             out.add(command);
           }
         }
       } catch (MetaLine.MalformedException e) {
-        giveUp();
+        discardInput();
         in.skipBytes(in.readableBytes());
         out.add(new MetaCommand("CLIENT_ERROR " + e.getMessage(), true));
       }
     }
 
-    /** Whether more is read is decided behind this reader alone, also where nothing was whole. */
+    /**
+     * The handler behind this decoder alone decides whether to read on, even if no command was
+     * complete.
+     */
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
       discardSomeReadBytes();
@@ -214,94 +224,94 @@
     }
 
     private void readValue(ByteBuf in, List<Object> out) throws MetaLine.MalformedException {
-      int bytes = Math.min(in.readableBytes(), missing - 2);
+      int bytes = Math.min(in.readableBytes(), remainingBytes - 2);
       if (bytes > 0) {
-        if (write.value != null) {
-          write.value.writeBytes(in, bytes);
+        if (pendingWrite.value != null) {
+          pendingWrite.value.writeBytes(in, bytes);
         } else {
           in.skipBytes(bytes);
         }
-        missing -= bytes;
+        remainingBytes -= bytes;
       }
-      if (missing == 2 && in.readableBytes() >= 2) {
-        MetaLine.readEnd(in);
-        MetaCommand whole = write;
-        write = null;
-        if (whole.value != null) {
-          whole.value.writeShort(0x0D0A);
+      if (remainingBytes == 2 && in.readableBytes() >= 2) {
+        MetaLine.readValueEnd(in);
+        MetaCommand completed = pendingWrite;
+        pendingWrite = null;
+        if (completed.value != null) {
+          completed.value.writeShort(0x0D0A);
         }
-        out.add(whole);
+        out.add(completed);
       }
     }
 
     private MetaCommand parse(ByteBufAllocator allocator, MetaLine line)
         throws MetaLine.MalformedException {
-      line.next();
+      line.nextWord();
       if (line.is("mn")) {
-        return HELLO;
+        return NO_OP_REPLY;
       }
-      boolean sets = line.is("ms");
-      if (!sets && !line.is("mg")) {
-        return UNKNOWN;
+      boolean isWrite = line.is("ms");
+      if (!isWrite && !line.is("mg")) {
+        return UNKNOWN_COMMAND_REPLY;
       }
-      String wrong = line.isEvenlySpaced() ? null : "bad spacing";
+      String error = line.isEvenlySpaced() ? null : "bad spacing";
       String key = null;
-      if (line.next() && line.end() - line.start() <= MAX_KEY && visible(line)) {
+      if (line.nextWord() && line.end() - line.start() <= MAX_KEY_BYTES && isVisible(line)) {
         key = line.word(0);
-      } else if (wrong == null) {
-        wrong = "bad key";
+      } else if (error == null) {
+        error = "bad key";
       }
       int length = 0;
-      if (sets) {
-        // The length is needed even where all else is wrong: it tells where the next command is.
-        length = line.next() ? line.number(line.start(), line.end()) : -1;
-        if (length < 0 || length > MetaLine.MAX_VALUE) {
+      if (isWrite) {
+        // The length is needed even if the rest is invalid: it locates the next command.
+        length = line.nextWord() ? line.parseNumber(line.start(), line.end()) : -1;
+        if (length < 0 || length > MetaLine.MAX_VALUE_BYTES) {
           throw new MetaLine.MalformedException("bad data length");
         }
       }
-      MetaCommand command = flags(line, key, sets, wrong);
-      if (sets) {
+      MetaCommand command = parseFlags(line, key, isWrite, error);
+      if (isWrite) {
         if (command.request != null && !budget.reserve(length + 2)) {
-          // Guards against more writes at once than there is memory for: this one is read and
-          // dropped, and refused, which is true since it has never gone out.
+          // The memory for writes is used up: the value is read and dropped and the write refused,
+          // which is accurate since it was never sent.
           command = new MetaCommand("SERVER_ERROR busy", false, command.request, null, 0, 0, null);
         } else if (command.request != null) {
           command.value = allocator.buffer(length + 2, length + 2);
         }
-        write = command;
-        missing = length + 2;
+        pendingWrite = command;
+        remainingBytes = length + 2;
       }
       return command;
     }
 
-    private static boolean visible(MetaLine line) {
-      return line.visible(line.start(), line.end());
+    private static boolean isVisible(MetaLine line) {
+      return line.isVisible(line.start(), line.end());
     }
 
-    private MetaCommand flags(MetaLine line, String key, boolean sets, String wrong) {
+    private MetaCommand parseFlags(MetaLine line, String key, boolean isWrite, String error) {
       String id = null;
       String idempotencyKey = null;
-      boolean value = false;
-      boolean parameters = false;
+      boolean wantsValue = false;
+      boolean parametersSeen = false;
       int deadlineStart = 0;
       int deadlineEnd = 0;
-      int deadline = -1;
+      int deadlineMillis = -1;
       String serviceClass = null;
       String tenant = null;
       boolean repeat = false;
-      double work = 0;
-      double size = 0;
-      while (line.next()) {
-        if (!visible(line)) {
-          wrong = "bad flag";
+      double workSeconds = 0;
+      double sizeBytes = 0;
+      while (line.nextWord()) {
+        if (!isVisible(line)) {
+          error = "bad flag";
         } else if (line.flag() == 'O' && id == null) {
-          id = line.end() - line.start() - 1 <= MAX_ID ? line.word(1) : "";
-        } else if (line.is("v") && !sets) {
-          value = true;
-        } else if (line.flag() != 'P' || parameters) {
-          wrong = "bad flag";
+          id = line.end() - line.start() - 1 <= MAX_ID_BYTES ? line.word(1) : "";
+        } else if (line.is("v") && !isWrite) {
+          wantsValue = true;
+        } else if (line.flag() != 'P' || parametersSeen) {
+          error = "bad flag";
         } else {
-          parameters = true;
+          parametersSeen = true;
           int from = line.start() + 1;
           while (from < line.end()) {
             int to = from;
@@ -314,62 +324,71 @@
             }
             int start = Math.min(equals + 1, to);
             if (equals == from || start == to) {
-              wrong = "bad parameter";
+              error = "bad parameter";
             }
             switch (line.text(from, equals)) {
               case "c" -> serviceClass = line.text(start, to);
               case "t" -> tenant = line.text(start, to);
               case "k" -> idempotencyKey = line.text(start, to);
               case "d" -> {
-                wrong = deadlineEnd > 0 ? "two deadlines" : wrong;
+                error = deadlineEnd > 0 ? "two deadlines" : error;
                 deadlineStart = start;
                 deadlineEnd = to;
-                deadline = line.number(start, to);
+                deadlineMillis = line.parseNumber(start, to);
               }
-              case "r" -> repeat = line.number(start, to) == 1;
-              case "h" -> work = Math.max(0, line.number(start, to)) / 1e6;
-              case "size" -> size = Math.max(0, line.number(start, to));
+              case "r" -> repeat = line.parseNumber(start, to) == 1;
+              case "h" -> workSeconds = Math.max(0, line.parseNumber(start, to)) / 1e6;
+              case "size" -> sizeBytes = Math.max(0, line.parseNumber(start, to));
               default -> {
-                // Meant for the cache server, which gets all of them as they are.
+                // Passed on to the cache server unchanged.
               }
             }
             from = to + 1;
           }
         }
       }
-      Settings.ServiceClass type = classes.get(serviceClass);
-      if (wrong == null && (id == null || id.isEmpty())) {
-        wrong = "bad or missing id";
-      } else if (wrong == null && type == null) {
-        wrong = "unknown or missing class";
-      } else if (wrong == null && (deadline <= 0 || deadline > MAX_DEADLINE)) {
-        wrong = "bad or missing deadline";
-      } else if (wrong == null && !sets && !value) {
-        wrong = "a read asks for no value";
-      } else if (wrong == null
-          && sets
+      Settings.ServiceClass classSettings = classes.get(serviceClass);
+      if (error == null && (id == null || id.isEmpty())) {
+        error = "bad or missing id";
+      } else if (error == null && classSettings == null) {
+        error = "unknown or missing class";
+      } else if (error == null && (deadlineMillis <= 0 || deadlineMillis > MAX_DEADLINE_MILLIS)) {
+        error = "bad or missing deadline";
+      } else if (error == null && !isWrite && !wantsValue) {
+        error = "a read asks for no value";
+      } else if (error == null
+          && isWrite
           && idempotencyKey == null
-          && type.effect() == Settings.Effect.KEYED) {
-        wrong = "a keyed write without its key";
+          && classSettings.effect() == Settings.Effect.KEYED) {
+        error = "a keyed write without its key";
       }
-      if (wrong != null) {
-        return new MetaCommand("CLIENT_ERROR " + wrong, false);
+      if (error != null) {
+        return new MetaCommand("CLIENT_ERROR " + error, false);
       }
       Request request =
-          new Request(id, key, serviceClass, tenant, deadline / 1e3, work, size, repeat, sets);
+          new Request(
+              id,
+              key,
+              serviceClass,
+              tenant,
+              deadlineMillis / 1e3,
+              workSeconds,
+              sizeBytes,
+              repeat,
+              isWrite);
       return new MetaCommand(null, false, request, line.bytes, deadlineStart, deadlineEnd, budget);
     }
 
-    private void dropWrite() {
-      if (write != null) {
-        write.release();
-        write = null;
+    private void releasePendingWrite() {
+      if (pendingWrite != null) {
+        pendingWrite.release();
+        pendingWrite = null;
       }
     }
 
     @Override
     protected void handlerRemoved0(ChannelHandlerContext ctx) {
-      dropWrite();
+      releasePendingWrite();
     }
   }
 }
--- a/src/main/java/beamspread/node/wire/MetaLine.java
+++ b/src/main/java/beamspread/node/wire/MetaLine.java
@@ -3,16 +3,22 @@
 import io.netty.buffer.ByteBuf;
 import java.nio.charset.StandardCharsets;
 
-/** One line of the memcache text protocol, cut at its spaces. */
+/** One line of the memcache text protocol, split at its spaces. */
 final class MetaLine {
-  /** Longest line taken, well above a key of 250 bytes with its flags. */
-  static final int MAX_LENGTH = 2048;
+  /** Longest accepted line in bytes, well above a key of 250 bytes with its flags. */
+  static final int MAX_LINE_BYTES = 2048;
 
-  /** Longest value that is held whole, and longest one taken from a client: the protocol's. */
-  static final int MAX_VALUE = 1 << 16;
+  /**
+   * Longest value in bytes that is held whole, and longest one accepted from a client, as the
+   * protocol defines it.
+   */
+  static final int MAX_VALUE_BYTES = 1 << 16;
 
-  /** Longest value passed on as it comes, four times what caches hold; above, a length is wrong. */
-  static final int MAX_PASSED = 1 << 24;
+  /**
+   * Longest value in bytes that is streamed, four times the largest one caches store; a greater
+   * length is invalid.
+   */
+  static final int MAX_STREAMED_VALUE_BYTES = 1 << 24;
 
   final byte[] bytes;
   private int position;
@@ -22,11 +28,11 @@
     this.bytes = bytes;
   }
 
-  /** Takes the next whole line off the buffer, null if it has not all come. */
+  /** Reads the next complete line from the buffer; null if it is not complete yet. */
   static MetaLine read(ByteBuf in) throws MalformedException {
-    int length = in.bytesBefore(Math.min(in.readableBytes(), MAX_LENGTH), (byte) '\n');
+    int length = in.bytesBefore(Math.min(in.readableBytes(), MAX_LINE_BYTES), (byte) '\n');
     if (length < 0) {
-      if (in.readableBytes() >= MAX_LENGTH) {
+      if (in.readableBytes() >= MAX_LINE_BYTES) {
         throw new MalformedException("line too long");
       }
       return null;
@@ -39,8 +45,8 @@
     return new MetaLine(bytes);
   }
 
-  /** Goes to the next word; false at the line's end. */
-  boolean next() {
+  /** Moves to the next word; returns false at the end of the line. */
+  boolean nextWord() {
     while (position < bytes.length && bytes[position] == ' ') {
       position++;
     }
@@ -51,7 +57,7 @@
     return position > wordStart;
   }
 
-  /** Whether its words stand one space apart, and nothing else does. */
+  /** Returns whether its words are separated by single spaces, with none at the ends. */
   boolean isEvenlySpaced() {
     for (int i = 0; i < bytes.length; i++) {
       if (bytes[i] == ' ' && (i == 0 || i == bytes.length - 1 || bytes[i + 1] == ' ')) {
@@ -69,7 +75,7 @@
     return position;
   }
 
-  /** The first byte of the present word: a flag's name. */
+  /** Returns the first byte of the current word, the name of a flag. */
   char flag() {
     return (char) bytes[wordStart];
   }
@@ -86,7 +92,7 @@
     return true;
   }
 
-  /** The present word from the given offset on. */
+  /** Returns the current word from the given offset on. */
   String word(int offset) {
     return text(wordStart + offset, position);
   }
@@ -95,8 +101,10 @@
     return new String(bytes, from, to - from, StandardCharsets.ISO_8859_1);
   }
 
-  /** The decimal number between two places, -1 if it is none or has over nine digits. */
-  int number(int from, int to) {
+  /**
+   * Returns the decimal number between two offsets, -1 if there is none or it has over nine digits.
+   */
+  int parseNumber(int from, int to) {
     if (from >= to || to - from > 9) {
       return -1;
     }
@@ -111,8 +119,8 @@
     return number;
   }
 
-  /** Whether all bytes between two places are printable ASCII, as in a key and an id. */
-  boolean visible(int from, int to) {
+  /** Returns whether all bytes between two offsets are visible ASCII, as in a key and an id. */
+  boolean isVisible(int from, int to) {
     for (int i = from; i < to; i++) {
       if (bytes[i] <= ' ' || bytes[i] == 0x7F) {
         return false;
@@ -121,14 +129,14 @@
     return from < to;
   }
 
-  /** Takes the CRLF after a value off the buffer. */
-  static void readEnd(ByteBuf in) throws MalformedException {
+  /** Reads the CRLF after a value from the buffer. */
+  static void readValueEnd(ByteBuf in) throws MalformedException {
     if (in.readByte() != '\r' || in.readByte() != '\n') {
       throw new MalformedException("bad data chunk");
     }
   }
 
-  /** The peer broke the protocol, and what follows cannot be told apart any more. */
+  /** Thrown when the peer broke the protocol, so that the rest of its input can't be parsed. */
   static final class MalformedException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/beamspread/node/wire/MetaReply.java
+++ b/src/main/java/beamspread/node/wire/MetaReply.java
@@ -15,33 +15,36 @@
 /**
  * A cache server's reply.
  *
- * @param result the outcome that it stands for
+ * @param result the outcome that it means for the attempt
  * @param id the request's id as the server repeats it, null where an error line has none
  * @param receipt a write's receipt, null for another reply
- * @param value the value with its CRLF; null where there is none
- * @param following bytes of a value that follows as {@link ValuePart}s, 0 for none
- * @param note what it says of the server's cache
- * @param load the server's load report, null if none came along
+ * @param value the value with its CRLF; null if there is none
+ * @param followingBytes length in bytes of a value that follows as {@link ValuePart}s, 0 for none
+ * @param note whether the server's cache had the value
+ * @param loadReport the server's load report, null if there is none
  */
 public record MetaReply(
     Outcome.Result result,
     String id,
     String receipt,
     ByteBuf value,
-    int following,
+    int followingBytes,
     Outcome.Note note,
-    LoadReport load) {
+    LoadReport loadReport) {
 
-  /** Whether it can be the answer to this command: a value for a read, a receipt for a write. */
-  public boolean answers(MetaCommand command) {
+  /**
+   * Returns whether it can be the answer to this command: a value for a read, a receipt for a
+   * write.
+   */
+  public boolean matches(MetaCommand command) {
     return result != Outcome.Result.OK
         ? id == null || id.equals(command.request.id())
         : id.equals(command.request.id())
-            && (command.request.write() ? receipt != null : value != null || following > 0);
+            && (command.request.write() ? receipt != null : value != null || followingBytes > 0);
   }
 
-  /** The answer to the client that this good reply stands for. */
-  public ByteBuf clientAnswer(ByteBufAllocator allocator) {
+  /** Encodes this successful reply for the client. */
+  public ByteBuf encodeForClient(ByteBufAllocator allocator) {
     int size = value == null ? 0 : value.readableBytes();
     ByteBuf bytes = allocator.buffer(id.length() + 48 + size);
     if (value == null) {
@@ -59,7 +62,7 @@
     return size > 0 ? bytes.writeBytes(value, value.readerIndex(), size) : bytes;
   }
 
-  /** Lets the value go. */
+  /** Releases the value. */
   public void release() {
     if (value != null) {
       value.release();
@@ -67,52 +70,52 @@
   }
 
   /**
-   * Reads replies off a cache server's connection: a {@link MetaReply} for each, and behind one
-   * whose value is too large to be held the {@link ValuePart}s of it as they come.
+   * Decodes replies from a cache server's connection: a {@link MetaReply} for each, followed by
+   * {@link ValuePart}s as they arrive if its value is too large to be held.
    */
   public static final class Decoder extends ByteToMessageDecoder {
     /**
-     * How much of a large value must be here before its head is believed. Guards against passing on
-     * a length that is wrong, which can't be taken back; a server writes so much in one go.
+     * How many bytes of a large value must have arrived before its head is passed on. A wrong
+     * length can't be corrected once it is passed on; a server writes this many bytes at once.
      */
-    private static final int FIRST = 4096;
+    private static final int MIN_STREAMED_BYTES = 4096;
 
     /** The reply whose value is being read, and the value's length. */
     private MetaReply head;
 
-    private int length;
+    private int valueLength;
 
-    /** Bytes of a large value that are still to come, -1 while none does. */
-    private int missing = -1;
+    /** Bytes of a large value that are still missing, -1 if none is being read. */
+    private int remainingBytes = -1;
 
-    private boolean lost;
-    private long reads;
+    private boolean framingLost;
+    private long readCount;
 
-    /** Whether a reply has begun and not ended. */
-    public boolean midway() {
-      return head != null || missing >= 0 || actualReadableBytes() > 0;
+    /** Returns whether a reply has begun and not ended. */
+    public boolean isIncomplete() {
+      return head != null || remainingBytes >= 0 || actualReadableBytes() > 0;
     }
 
-    /** How often something was read. */
-    public long reads() {
-      return reads;
+    /** Returns how many reads have delivered data. */
+    public long readCount() {
+      return readCount;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) throws Exception {
-      reads++;
+      readCount++;
       super.channelRead(ctx, message);
     }
 
     @Override
     protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
-      if (lost) {
+      if (framingLost) {
         in.skipBytes(in.readableBytes());
         return;
       }
       try {
-        if (missing >= 0) {
-          part(ctx, in, out);
+        if (remainingBytes >= 0) {
+          readPart(ctx, in, out);
           return;
         }
         if (head == null) {
@@ -122,63 +125,63 @@
           }
           head = parse(line);
         }
-        if (length < 0) {
+        if (valueLength < 0) {
           out.add(head);
           head = null;
-        } else if (head.following > 0) {
-          if (in.readableBytes() >= FIRST) {
-            missing = head.following;
+        } else if (head.followingBytes > 0) {
+          if (in.readableBytes() >= MIN_STREAMED_BYTES) {
+            remainingBytes = head.followingBytes;
             out.add(head);
             head = null;
-            part(ctx, in, out);
+            readPart(ctx, in, out);
           }
-        } else if (in.readableBytes() >= length + 2) {
-          int end = in.readerIndex() + length;
+        } else if (in.readableBytes() >= valueLength + 2) {
+          int end = in.readerIndex() + valueLength;
           if (in.getByte(end) != '\r' || in.getByte(end + 1) != '\n') {
             throw new MetaLine.MalformedException("bad data chunk");
           }
-          ByteBuf value = in.readRetainedSlice(length + 2);
-          out.add(new MetaReply(head.result, head.id, null, value, 0, head.note, head.load));
+          ByteBuf value = in.readRetainedSlice(valueLength + 2);
+          out.add(new MetaReply(head.result, head.id, null, value, 0, head.note, head.loadReport));
           head = null;
         }
       } catch (MetaLine.MalformedException e) {
-        lost = true;
+        framingLost = true;
         head = null;
-        missing = -1;
+        remainingBytes = -1;
         throw new DecoderException(e);
       }
     }
 
-    /** Takes what has come of a large value, or its end. */
-    private void part(ChannelHandlerContext ctx, ByteBuf in, List<Object> out)
+    /** Reads the available part of a large value, or its end. */
+    private void readPart(ChannelHandlerContext ctx, ByteBuf in, List<Object> out)
         throws MetaLine.MalformedException {
-      int size = Math.min(in.readableBytes(), missing);
+      int size = Math.min(in.readableBytes(), remainingBytes);
       if (size > 0) {
-        // A small part would keep the whole buffer that it was read into.
+        // A slice would keep the whole buffer that it was read into, so a small part is copied.
         boolean copy = size < in.capacity() / 2;
         ByteBuf bytes =
             copy ? ctx.alloc().buffer(size).writeBytes(in, size) : in.readRetainedSlice(size);
-        missing -= size;
+        remainingBytes -= size;
         out.add(new ValuePart(bytes, false));
-      } else if (missing == 0 && in.readableBytes() >= 2) {
-        MetaLine.readEnd(in);
-        missing = -1;
+      } else if (remainingBytes == 0 && in.readableBytes() >= 2) {
+        MetaLine.readValueEnd(in);
+        remainingBytes = -1;
         out.add(new ValuePart(Unpooled.EMPTY_BUFFER, true));
       }
     }
 
     private MetaReply parse(MetaLine line) throws MetaLine.MalformedException {
-      line.next();
+      line.nextWord();
       Outcome.Result result = Outcome.Result.OK;
-      length = -1;
+      valueLength = -1;
       boolean stored = line.is("HD");
       if (line.is("VA")) {
-        length = line.next() ? line.number(line.start(), line.end()) : -1;
-        if (length < 0 || length > MetaLine.MAX_PASSED) {
+        valueLength = line.nextWord() ? line.parseNumber(line.start(), line.end()) : -1;
+        if (valueLength < 0 || valueLength > MetaLine.MAX_STREAMED_VALUE_BYTES) {
           throw new MetaLine.MalformedException("bad data length");
         }
       } else if (line.is("SERVER_ERROR")) {
-        result = line.next() && line.is("busy") ? Outcome.Result.FULL : Outcome.Result.ERROR;
+        result = line.nextWord() && line.is("busy") ? Outcome.Result.FULL : Outcome.Result.ERROR;
       } else if (line.is("CLIENT_ERROR") || line.is("ERROR")) {
         result = Outcome.Result.ERROR;
       } else if (!stored) {
@@ -187,33 +190,33 @@
       String id = null;
       String receipt = null;
       Outcome.Note note = Outcome.Note.NONE;
-      LoadReport load = null;
-      // A load report ends the line: one that cannot be read must not be taken for flags.
-      while (load == null && line.next()) {
+      LoadReport loadReport = null;
+      // A load report ends the line, so an unreadable one is not parsed as flags.
+      while (loadReport == null && line.nextWord()) {
         switch (line.flag()) {
           case 'O' -> id = id == null ? line.word(1) : id;
           case 'c' -> receipt = line.word(1);
           case 'h' -> note = line.is("h1") ? Outcome.Note.HIT : Outcome.Note.MISS;
           case 'Z' -> note = Outcome.Note.MISS_PENDING;
-          case 'L' -> load = load(line.word(1));
+          case 'L' -> loadReport = parseLoadReport(line.word(1));
           default -> {
-            // Nothing that this node knows the use of.
+            // Flag without a meaning for this node.
           }
         }
       }
       if (result == Outcome.Result.OK && (id == null || (stored && receipt == null))) {
         throw new MetaLine.MalformedException("reply without an id or receipt");
       }
-      int following = length > MetaLine.MAX_VALUE ? length : 0;
-      return new MetaReply(result, id, receipt, null, following, note, load);
+      int followingBytes = valueLength > MetaLine.MAX_VALUE_BYTES ? valueLength : 0;
+      return new MetaReply(result, id, receipt, null, followingBytes, note, loadReport);
     }
 
-    private static LoadReport load(String text) {
+    private static LoadReport parseLoadReport(String text) {
       double[] values = new double[8];
       Arrays.fill(values, Double.NaN);
       for (String pair : text.split(",")) {
         int equals = pair.indexOf('=');
-        int place =
+        int index =
             switch (pair.substring(0, Math.max(0, equals))) {
               case "inflight", "active" -> 0;
               case "queue", "waiting" -> 1;
@@ -225,12 +228,12 @@
               case "x1" -> 7;
               default -> -1;
             };
-        if (place >= 0) {
+        if (index >= 0) {
           try {
             double value = Double.parseDouble(pair.substring(equals + 1));
-            values[place] = value >= 0 && value < 1e12 ? value : Double.NaN;
+            values[index] = value >= 0 && value < 1e12 ? value : Double.NaN;
           } catch (NumberFormatException e) {
-            // A figure that cannot be read is one that was not reported.
+            // An unreadable figure counts as not reported.
           }
         }
       }
--- a/src/main/java/beamspread/node/wire/ValuePart.java
+++ b/src/main/java/beamspread/node/wire/ValuePart.java
@@ -3,9 +3,9 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * What has come of a large value.
+ * One part of a large value.
  *
- * @param bytes the next bytes of it, none where it ends
- * @param last whether it has ended, with its CRLF and as long as was said
+ * @param bytes the next bytes, empty at the end
+ * @param last whether the value is complete, with the announced length and its CRLF
  */
 public record ValuePart(ByteBuf bytes, boolean last) {}
--- a/src/main/java/beamspread/node/wire/package-info.java
+++ b/src/main/java/beamspread/node/wire/package-info.java
@@ -1,6 +1,5 @@
 /**
- * The meta commands of the memcache text protocol as clients, nodes and cache servers speak them:
- * strict reading of commands and replies, and the memory that writes may hold meanwhile. Also how a
- * node writes JSON.
+ * The meta commands of the memcache text protocol between clients, nodes and cache servers: strict
+ * decoding of commands and replies, and the memory budget of writes. Also JSON output of a node.
  */
 package beamspread.node.wire;
--- a/src/main/java/beamspread/pool/PoolActions.java
+++ b/src/main/java/beamspread/pool/PoolActions.java
@@ -1,31 +1,37 @@
 package beamspread.pool;
 
 /**
- * What pools decide. Carried out at once; what comes of it is told to {@link Pools} later, never
- * from within one of these calls, but for {@link #unreachable}, {@link #full} and a {@link #write}
- * of what is over, which may lead to a new {@code send}.
+ * The actions that {@link Pools} requests. They are carried out at once; their results are reported
+ * to {@link Pools} later, never from within one of these calls. The exceptions are {@link
+ * #rejectUnreachable}, {@link #rejectFull} and a {@link #write} of a settled attempt, which may
+ * lead to a new {@link Pools#send}.
  *
- * @param <A> an attempt
+ * @param <A> the type of an attempt
  */
 public interface PoolActions<A> {
-  /** Begin to open a connection; {@code opened} or {@code notOpened} must follow. */
-  void open(long server, long link);
+  /**
+   * Starts to open a connection; {@link Pools#connectionOpened} or {@link Pools#connectionFailed}
+   * must follow.
+   */
+  void open(long server, long connectionId);
 
   /**
-   * Write an attempt to a connection; false if it was not, since it is over already. Its end is not
-   * told here again.
+   * Writes an attempt to a connection. Returns false if it was not written because it is already
+   * settled; its end is then not reported to the pools again.
    */
-  boolean write(long link, A attempt);
+  boolean write(long connectionId, A attempt);
 
-  /** Close a connection, on which nothing is awaited; {@code closed} must follow. */
-  void close(long link);
+  /**
+   * Closes a connection on which no attempt is awaited; {@link Pools#connectionClosed} must follow.
+   */
+  void close(long connectionId);
 
-  /** No connection is to be had for an attempt, which has never been written. */
-  void unreachable(A attempt);
+  /** Fails an attempt that was never written, since no connection is available. */
+  void rejectUnreachable(A attempt);
 
   /**
-   * The server runs and takes no more connections, and on all that it took large values are on
-   * their way: an attempt, which has never been written, had better go elsewhere.
+   * Fails an attempt that was never written, so that it is sent to another server: this server is
+   * up and accepts no more connections, and all the accepted ones are streaming large values.
    */
-  void full(A attempt);
+  void rejectFull(A attempt);
 }
--- a/src/main/java/beamspread/pool/PoolSettings.java
+++ b/src/main/java/beamspread/pool/PoolSettings.java
@@ -4,101 +4,102 @@
 import java.util.List;
 
 /**
- * What bounds the connections of one node to its cache servers.
+ * Limits on the connections of one node to its cache servers.
  *
- * @param connections how many this node opens to one server at most
- * @param leaving how many more may be open while others are being given up
- * @param streaming how many more may be open while answers come in parts on as many others
- * @param depth how many attempts may be under way on one
- * @param sockets how many may be open, or coming up, to all servers together
- * @param openingEach how many may be coming up to one server
- * @param openingAll how many may be coming up to all servers
- * @param spare how many free ones are kept ready at a server that is in use, beyond need
- * @param freeEach how many free ones are kept at all servers together, for each server of the list:
- *     under one where more nodes than a server takes connections share them
- * @param idleNanos how long one is kept that is not in use, at most; each ends up to a fifth
- *     earlier
- * @param ageNanos how long one is kept at all, at most, 0 for without end; up to a fifth earlier
- * @param suspectNanos how long an answer may be overdue at the least before its connection is
- *     suspect
- * @param coldNanos how long after its start a server gets no connection ahead of need
+ * @param connectionsPerServer how many this node opens to one server at most
+ * @param extraWhileRetiring how many more may be open while others are retiring
+ * @param extraWhileStreaming how many more may be open while as many others stream answers in parts
+ * @param multiplexingDepth how many attempts may be in flight on one connection
+ * @param maxSockets how many connections may be open or opening, to all servers together
+ * @param openingPerServer how many may be opening to one server
+ * @param openingTotal how many may be opening to all servers
+ * @param spareConnections how many free ones are kept ready, ahead of need, at a server in use
+ * @param freePerServer how many free ones are kept at all servers together, for each listed server;
+ *     below one where more nodes share a server than it accepts connections
+ * @param idleTimeoutNanos longest idle time; each connection closes up to a fifth earlier
+ * @param maxAgeNanos maximum age, 0 for none; each connection closes up to a fifth earlier
+ * @param suspectAfterNanos shortest wait for an answer after which a connection is suspect
+ * @param coldPeriodNanos how long after its start a server gets no connection ahead of need
  */
 public record PoolSettings(
-    int connections,
-    int leaving,
-    int streaming,
-    int depth,
-    int sockets,
-    int openingEach,
-    int openingAll,
-    int spare,
-    double freeEach,
-    long idleNanos,
-    long ageNanos,
-    long suspectNanos,
-    long coldNanos) {
+    int connectionsPerServer,
+    int extraWhileRetiring,
+    int extraWhileStreaming,
+    int multiplexingDepth,
+    int maxSockets,
+    int openingPerServer,
+    int openingTotal,
+    int spareConnections,
+    double freePerServer,
+    long idleTimeoutNanos,
+    long maxAgeNanos,
+    long suspectAfterNanos,
+    long coldPeriodNanos) {
 
   /**
-   * Connections to one server, over all nodes together, that a tier keeps of itself. Where it has
-   * more nodes than that, each keeps less than one for each server.
+   * Connections to one server that all nodes of a tier together keep by default. With more nodes
+   * than that, each node keeps fewer connections than servers.
    */
-  public static final int TIER_CONNECTIONS = 12;
+  public static final int TIER_CONNECTIONS_PER_SERVER = 12;
 
-  /** A node's part of those, for each server. */
-  public static double tierPart(int nodes) {
-    return (double) TIER_CONNECTIONS / Math.max(1, nodes);
+  /** Returns one node's share of those connections, for each server. */
+  public static double shareOfNode(int nodes) {
+    return (double) TIER_CONNECTIONS_PER_SERVER / Math.max(1, nodes);
   }
 
-  /** How many may be open to one server in any case. */
-  int most() {
-    return connections + leaving + streaming;
+  /** Returns how many connections to one server may be open in any case. */
+  int maxOpenPerServer() {
+    return connectionsPerServer + extraWhileRetiring + extraWhileStreaming;
   }
 
-  /** The same without the sockets that others hold, but with half of them at least. */
-  public PoolSettings without(int held) {
+  /**
+   * Returns these settings without the sockets that others hold, but with half of them at least.
+   */
+  public PoolSettings withoutSockets(int heldSockets) {
     return new PoolSettings(
-        connections,
-        leaving,
-        streaming,
-        depth,
-        Math.max(1, Math.max(sockets / 2, sockets - held)),
-        openingEach,
-        openingAll,
-        spare,
-        freeEach,
-        idleNanos,
-        ageNanos,
-        suspectNanos,
-        coldNanos);
+        connectionsPerServer,
+        extraWhileRetiring,
+        extraWhileStreaming,
+        multiplexingDepth,
+        Math.max(1, Math.max(maxSockets / 2, maxSockets - heldSockets)),
+        openingPerServer,
+        openingTotal,
+        spareConnections,
+        freePerServer,
+        idleTimeoutNanos,
+        maxAgeNanos,
+        suspectAfterNanos,
+        coldPeriodNanos);
   }
 
-  /** All that makes no sense here, in words for operators; empty if nothing is wrong. */
-  public List<String> faults() {
-    List<String> faults = new ArrayList<>();
-    least(faults, "connections", connections, 1);
-    least(faults, "leaving", leaving, 0);
-    least(faults, "streaming", streaming, 0);
-    least(faults, "depth", depth, 1);
-    least(faults, "sockets", sockets, 1);
-    least(faults, "opening_each", openingEach, 1);
-    least(faults, "opening_all", openingAll, 1);
-    least(faults, "spare", spare, 0);
-    if (spare >= connections) {
-      faults.add("spare must be under connections, which is " + connections);
+  /** Returns all invalid settings, as messages for operators; empty if all are valid. */
+  public List<String> validationErrors() {
+    List<String> errors = new ArrayList<>();
+    requireAtLeast(errors, "connections", connectionsPerServer, 1);
+    requireAtLeast(errors, "leaving", extraWhileRetiring, 0);
+    requireAtLeast(errors, "streaming", extraWhileStreaming, 0);
+    requireAtLeast(errors, "depth", multiplexingDepth, 1);
+    requireAtLeast(errors, "sockets", maxSockets, 1);
+    requireAtLeast(errors, "opening_each", openingPerServer, 1);
+    requireAtLeast(errors, "opening_all", openingTotal, 1);
+    requireAtLeast(errors, "spare", spareConnections, 0);
+    if (spareConnections >= connectionsPerServer) {
+      errors.add("spare must be under connections, which is " + connectionsPerServer);
     }
-    if (!(freeEach > 0)) {
-      faults.add("free_each must be above 0");
+    if (!(freePerServer > 0)) {
+      errors.add("free_each must be above 0");
     }
-    least(faults, "idle_s", idleNanos, 1);
-    least(faults, "age_s", ageNanos, 0);
-    least(faults, "suspect_s", suspectNanos, 1);
-    least(faults, "cold_s", coldNanos, 0);
-    return faults;
+    requireAtLeast(errors, "idle_s", idleTimeoutNanos, 1);
+    requireAtLeast(errors, "age_s", maxAgeNanos, 0);
+    requireAtLeast(errors, "suspect_s", suspectAfterNanos, 1);
+    requireAtLeast(errors, "cold_s", coldPeriodNanos, 0);
+    return errors;
   }
 
-  private static void least(List<String> faults, String name, long value, long least) {
-    if (value < least) {
-      faults.add(least == 0 ? name + " must not be negative" : name + " must be at least " + least);
+  private static void requireAtLeast(List<String> errors, String name, long value, long minimum) {
+    if (value < minimum) {
+      errors.add(
+          minimum == 0 ? name + " must not be negative" : name + " must be at least " + minimum);
     }
   }
 }
--- a/src/main/java/beamspread/pool/Pools.java
+++ b/src/main/java/beamspread/pool/Pools.java
@@ -7,42 +7,45 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * The connections of one node to all its cache servers. Not for more than one thread. Times are
- * nanoseconds of one clock that never runs backwards.
+ * Manages the connections of one node to all its cache servers. Not thread-safe. Times are
+ * nanoseconds of one monotonic clock.
  *
- * @param <A> an attempt; known by identity
+ * @param <A> the type of an attempt; compared by identity
  */
 public final class Pools<A> {
-  /** The part of the sockets that connections ahead of need leave free for what has come. */
-  private static final double AHEAD_PART = 0.8;
+  /**
+   * Connections are opened ahead of need only below this share of the sockets; the rest is kept for
+   * attempts that have arrived.
+   */
+  private static final double MAX_SOCKET_SHARE_AHEAD_OF_NEED = 0.8;
 
   private PoolSettings settings;
   private final DoubleSupplier random;
   private final PoolActions<A> actions;
-  private final Map<Long, ServerLinks<A>> servers = new HashMap<>();
+  private final Map<Long, ServerConnections<A>> servers = new HashMap<>();
 
-  /** Those whose server has left, until their last connection has ended. */
-  private final List<ServerLinks<A>> leaving = new ArrayList<>();
+  /** Servers that have left the list, until their last connection has ended. */
+  private final List<ServerConnections<A>> leaving = new ArrayList<>();
 
-  /** Each connection and its owner. */
-  private final Map<Long, Owned<A>> links = new HashMap<>();
+  /** Each connection with its server, by connection id. */
+  private final Map<Long, OwnedConnection<A>> connections = new HashMap<>();
 
-  private final Crowding crowding = new Crowding();
-  private long lastLink;
-  private int opening;
+  private final ConnectionScarcity scarcity = new ConnectionScarcity();
+  private long lastConnectionId;
+  private int openingCount;
 
-  /** Connections that were told to close and whose end is not told yet: their sockets are free. */
-  private int closing;
+  /** Connections whose close was requested but not yet reported; their sockets count as free. */
+  private int closingCount;
 
-  private record Owned<A>(ServerLinks<A> server, Link link) {}
+  private record OwnedConnection<A>(ServerConnections<A> server, PooledConnection connection) {}
 
   /**
-   * @param random numbers from 0 to 1, by which connections end at different times
-   * @throws IllegalArgumentException if the settings make no sense
+   * @param random numbers from 0 to 1, which spread the times at which connections expire
+   * @throws IllegalArgumentException if the settings are invalid
    */
   public Pools(PoolSettings settings, DoubleSupplier random, PoolActions<A> actions) {
-    if (!settings.faults().isEmpty()) {
-      throw new IllegalArgumentException(String.join("; ", settings.faults()));
+    if (!settings.validationErrors().isEmpty()) {
+      throw new IllegalArgumentException(String.join("; ", settings.validationErrors()));
     }
     this.settings = settings;
     this.random = random;
@@ -58,341 +61,355 @@
   }
 
   /**
-   * Goes on by other settings. What is open beyond them ends as it falls free.
+   * Applies changed settings. Connections beyond the new limits close as they become free.
    *
-   * @throws IllegalArgumentException if they make no sense
+   * @throws IllegalArgumentException if the settings are invalid
    */
-  public void use(PoolSettings changed) {
-    if (!changed.faults().isEmpty()) {
-      throw new IllegalArgumentException(String.join("; ", changed.faults()));
+  public void applySettings(PoolSettings newSettings) {
+    if (!newSettings.validationErrors().isEmpty()) {
+      throw new IllegalArgumentException(String.join("; ", newSettings.validationErrors()));
     }
-    settings = changed;
-    servers.values().forEach(server -> server.ceiling(changed));
+    settings = newSettings;
+    servers.values().forEach(server -> server.applySettings(newSettings));
   }
 
-  // What the list says.
+  // Changes of the server list.
 
   /**
-   * The list has a server.
+   * Adds or updates a server of the list.
    *
-   * @param moved whether it is at another address than before
+   * @param addressChanged whether its address has changed
    * @param startedAt when its process started; {@link Long#MIN_VALUE} for long ago
    */
-  public void listed(long server, boolean moved, long startedAt) {
-    servers.computeIfAbsent(server, this::comesBack).listed(moved, startedAt);
+  public void serverListed(long server, boolean addressChanged, long startedAt) {
+    servers.computeIfAbsent(server, this::createOrRestore).serverListed(addressChanged, startedAt);
   }
 
-  /** One that left and comes back goes on with what is left of it, so that its bounds hold. */
-  private ServerLinks<A> comesBack(long server) {
-    for (ServerLinks<A> gone : leaving) {
+  /**
+   * Returns the state of a server that left and returns, so that its limits still hold, or a new
+   * one.
+   */
+  private ServerConnections<A> createOrRestore(long server) {
+    for (ServerConnections<A> gone : leaving) {
       if (gone.server == server) {
         leaving.remove(gone);
-        gone.comeBack();
+        gone.serverReturned();
         return gone;
       }
     }
-    return new ServerLinks<>(server, this);
+    return new ServerConnections<>(server, this);
   }
 
   /**
-   * A server drains. Guards against an attempt that was decided before and waits for a connection
-   * for longer than the grace: a send counts from its first byte.
+   * Fails the attempts that wait for a connection to a draining server. A send counts from its
+   * first byte, so an attempt decided earlier must not wait for a connection beyond the drain
+   * grace.
    */
-  public void drains(long server) {
-    ServerLinks<A> links = servers.get(server);
-    if (links != null) {
-      links.failWaiting();
+  public void serverDraining(long server) {
+    ServerConnections<A> connections = servers.get(server);
+    if (connections != null) {
+      connections.failWaitingAttempts();
     }
   }
 
-  /** A server has left: what is under way may end, and nothing new begins. */
-  public void left(long server) {
-    ServerLinks<A> gone = servers.remove(server);
+  /** Removes a server: attempts in flight may end, and no new ones start. */
+  public void serverLeft(long server) {
+    ServerConnections<A> gone = servers.remove(server);
     if (gone != null) {
       leaving.add(gone);
-      gone.leave();
-      leaving.removeIf(ServerLinks::gone);
+      gone.serverLeft();
+      leaving.removeIf(ServerConnections::isDone);
     }
   }
 
   // Attempts.
 
   /**
-   * Finds a connection for an attempt.
+   * Sends an attempt on a connection to a server.
    *
-   * @param guarded whether it must not be lost with others on its connection: it can't be repeated
+   * @param unrepeatable whether it can't be repeated, so that it must not be lost with others on
+   *     its connection
    */
-  public void send(long now, long server, A attempt, boolean guarded) {
-    ServerLinks<A> links = servers.get(server);
-    if (links == null) {
-      actions.unreachable(attempt);
+  public void send(long now, long server, A attempt, boolean unrepeatable) {
+    ServerConnections<A> connections = servers.get(server);
+    if (connections == null) {
+      actions.rejectUnreachable(attempt);
     } else {
-      links.send(now, attempt, guarded);
+      connections.send(now, attempt, unrepeatable);
     }
   }
 
-  /** Takes back an attempt that has not been written. */
-  public void forget(long server, A attempt) {
-    ServerLinks<A> links = servers.get(server);
-    if (links != null) {
-      links.forget(attempt);
+  /** Withdraws an attempt that has not been written. */
+  public void withdrawWaiting(long server, A attempt) {
+    ServerConnections<A> connections = servers.get(server);
+    if (connections != null) {
+      connections.withdrawWaiting(attempt);
     }
   }
 
-  /** Nobody waits any more for an attempt that is under way on a connection. */
-  public void abandoned(long link, long writtenAt, boolean overdue) {
-    Owned<A> owned = links.get(link);
+  /** Records that an attempt in flight on a connection is no longer awaited. */
+  public void attemptAbandoned(long connectionId, long writtenAt, boolean overdue) {
+    OwnedConnection<A> owned = connections.get(connectionId);
     if (owned != null) {
-      owned.server().abandoned(owned.link(), writtenAt, overdue);
+      owned.server().attemptAbandoned(owned.connection(), writtenAt, overdue);
     }
   }
 
   // Connections.
 
-  /** A connection is up. */
-  public void opened(long now, long link) {
-    Owned<A> owned = links.get(link);
-    opening--;
-    owned.server().opened(now, owned.link());
-    feedStarved(now);
+  /** Records that a connection is established. */
+  public void connectionOpened(long now, long connectionId) {
+    OwnedConnection<A> owned = connections.get(connectionId);
+    openingCount--;
+    owned.server().connectionOpened(now, owned.connection());
+    placeStarvedAttempts(now);
   }
 
   /**
-   * A connection did not come up.
+   * Records that a connection could not be opened.
    *
-   * @param silent whether nothing came back at all
+   * @param timedOut whether the server did not respond at all
    */
-  public void notOpened(long now, long link, boolean silent) {
-    Owned<A> owned = links.remove(link);
-    opening--;
-    owned.server().notOpened(now, owned.link(), silent);
-    feedStarved(now);
-    leaving.removeIf(ServerLinks::gone);
+  public void connectionFailed(long now, long connectionId, boolean timedOut) {
+    OwnedConnection<A> owned = connections.remove(connectionId);
+    openingCount--;
+    owned.server().connectionFailed(now, owned.connection(), timedOut);
+    placeStarvedAttempts(now);
+    leaving.removeIf(ServerConnections::isDone);
   }
 
-  /** Something has come on a connection. */
-  public void heard(long now, long link) {
-    Owned<A> owned = links.get(link);
+  /** Records that data was received on a connection. */
+  public void dataReceived(long now, long connectionId) {
+    OwnedConnection<A> owned = connections.get(connectionId);
     if (owned != null) {
-      owned.server().heard(now, owned.link());
+      owned.server().dataReceived(now, owned.connection());
     }
   }
 
   /**
-   * The attempt that was under way longest on a connection has the head of its answer; the rest
-   * comes in parts, until {@code answered}. Nothing more is written behind it.
+   * Records the head of the answer to the oldest attempt in flight on a connection. The rest is
+   * streamed in parts until {@link #attemptAnswered}; nothing more is written behind it.
    */
-  public void begun(long now, long link, long writtenAt) {
-    Owned<A> owned = links.get(link);
+  public void streamingStarted(long now, long connectionId, long writtenAt) {
+    OwnedConnection<A> owned = connections.get(connectionId);
     if (owned != null) {
-      owned.server().begun(now, owned.link(), writtenAt);
+      owned.server().streamingStarted(now, owned.connection(), writtenAt);
     }
   }
 
   /**
-   * The attempt that was under way longest on a connection has its answer.
+   * Records the complete answer to the oldest attempt in flight on a connection.
    *
-   * @param awaited whether somebody waited for it
-   * @param guarded as it was sent
-   * @param turnedAway whether the server takes no more; said first on a connection, it may mean
-   *     that
+   * @param awaited whether the attempt was still awaited
+   * @param unrepeatable as it was passed to {@link #send}
+   * @param serverBusy whether the server answered that it is busy; as the first answer on a
+   *     connection that may be a refusal of the connection
    */
-  public void answered(
-      long now, long link, long writtenAt, boolean awaited, boolean guarded, boolean turnedAway) {
-    Owned<A> owned = links.get(link);
+  public void attemptAnswered(
+      long now,
+      long connectionId,
+      long writtenAt,
+      boolean awaited,
+      boolean unrepeatable,
+      boolean serverBusy) {
+    OwnedConnection<A> owned = connections.get(connectionId);
     if (owned != null) {
-      owned.server().answered(now, owned.link(), writtenAt, awaited, guarded, turnedAway);
+      owned
+          .server()
+          .attemptAnswered(now, owned.connection(), writtenAt, awaited, unrepeatable, serverBusy);
     }
   }
 
   /**
-   * All that had come on a connection is read.
+   * Records that all received data has been read.
    *
-   * @param midway whether it ended within a reply
+   * @param incomplete whether it ended within a reply
    */
-  public void readDone(long now, long link, boolean midway) {
-    Owned<A> owned = links.get(link);
+  public void readCompleted(long now, long connectionId, boolean incomplete) {
+    OwnedConnection<A> owned = connections.get(connectionId);
     if (owned != null) {
-      owned.server().readDone(now, owned.link(), midway);
+      owned.server().readCompleted(now, owned.connection(), incomplete);
     }
   }
 
-  /** Nothing more is to be written to a connection. */
-  public void retire(long link) {
-    Owned<A> owned = links.get(link);
+  /** Stops writing to a connection. */
+  public void retireConnection(long connectionId) {
+    OwnedConnection<A> owned = connections.get(connectionId);
     if (owned != null) {
-      owned.server().retire(owned.link());
+      owned.server().retireConnection(owned.connection());
     }
   }
 
   /**
-   * A connection is being closed, or has ended: nothing more goes there.
+   * Records that a connection is closing or has ended; nothing more is written there.
    *
-   * @param spoilt whether for what came on it
+   * @param protocolError whether because of invalid data on it
    */
-  public void ending(long link, boolean spoilt) {
-    Owned<A> owned = links.get(link);
+  public void connectionEnding(long connectionId, boolean protocolError) {
+    OwnedConnection<A> owned = connections.get(connectionId);
     if (owned != null) {
-      owned.link().retiring |= spoilt;
-      closing(owned.link());
+      owned.connection().retiring |= protocolError;
+      markClosing(owned.connection());
     }
   }
 
-  /** A connection has ended, and the attempts on it with it. */
-  public void closed(long now, long link) {
-    Owned<A> owned = links.remove(link);
+  /** Records that a connection has ended, and the attempts on it with it. */
+  public void connectionClosed(long now, long connectionId) {
+    OwnedConnection<A> owned = connections.remove(connectionId);
     if (owned != null) {
-      closing -= owned.link().closing ? 1 : 0;
-      owned.server().closed(now, owned.link());
-      feedStarved(now);
-      leaving.removeIf(ServerLinks::gone);
+      closingCount -= owned.connection().closing ? 1 : 0;
+      owned.server().connectionClosed(now, owned.connection());
+      placeStarvedAttempts(now);
+      leaving.removeIf(ServerConnections::isDone);
     }
   }
 
   /**
-   * Closes the connections to a server on which nothing is under way. One whose answer is still
-   * being read is not among them: how long that rests is told by how scarce connections are.
+   * Closes the free connections to a server. One whose answer is still being read is not closed;
+   * how long it stays idle depends on how scarce connections are.
    */
   public void closeIdle(long server) {
-    ServerLinks<A> links = servers.get(server);
-    if (links != null) {
-      links.closeIdle();
+    ServerConnections<A> connections = servers.get(server);
+    if (connections != null) {
+      connections.closeIdle();
     }
   }
 
-  /** Time has passed: closes what has outlived it, opens ahead of need. */
+  /** Closes expired connections, and opens connections ahead of need. */
   public void tick(long now) {
-    for (ServerLinks<A> links : List.copyOf(servers.values())) {
-      links.tick(now);
+    for (ServerConnections<A> connections : List.copyOf(servers.values())) {
+      connections.tick(now);
     }
-    keepFew(0);
+    retireExcessFree(0);
   }
 
-  /** Connections that are open, coming up, or being given up. */
-  public int sockets() {
-    return links.size() - closing;
+  /** Returns the number of connections that are open, opening or retiring. */
+  public int socketCount() {
+    return connections.size() - closingCount;
   }
 
-  // What the servers' pools share.
+  // State shared by the servers.
 
-  /** How long a free connection may rest here by now. */
-  long restNanos() {
-    return crowding.restNanos(settings.idleNanos());
+  /** Returns how long a free connection may currently stay idle. */
+  long idleTimeNanos() {
+    return scarcity.idleTimeNanos(settings.idleTimeoutNanos());
   }
 
-  /** An attempt has found a connection, or has come to be turned down. */
-  void seen(boolean refused) {
-    crowding.seen(refused);
+  /** Records whether an attempt was refused a connection or got one. */
+  void recordAttempt(boolean refused) {
+    scarcity.recordAttempt(refused);
   }
 
-  /** A connection was told to close. */
-  void closing(Link link) {
-    if (!link.closing) {
-      link.closing = true;
-      closing++;
+  /** Marks a connection whose close was requested. */
+  void markClosing(PooledConnection connection) {
+    if (!connection.closing) {
+      connection.closing = true;
+      closingCount++;
     }
   }
 
-  /** What waited for room among all connections that come up may have it now. */
-  private void feedStarved(long now) {
-    if (opening < settings.openingAll()) {
-      for (ServerLinks<A> server : List.copyOf(servers.values())) {
-        if (server.starved()) {
-          server.placeAgain(now);
+  /** Retries attempts that waited for the limit on opening connections. */
+  private void placeStarvedAttempts(long now) {
+    if (openingCount < settings.openingTotal()) {
+      for (ServerConnections<A> server : List.copyOf(servers.values())) {
+        if (server.isStarved()) {
+          server.placeWaitingAttempts(now);
         }
       }
     }
   }
 
-  /** Whether a socket is to be had, now or by ending a free connection. */
-  boolean hasSocket() {
-    return sockets() < settings.sockets() || richest(null) != null;
+  /** Returns whether a socket is available, now or by closing a free connection. */
+  boolean isSocketAvailable() {
+    return socketCount() < settings.maxSockets() || serverWithMostConnections(null) != null;
   }
 
-  /** Whether there are so many sockets left that one may be opened ahead of need. */
-  boolean roomAhead() {
-    return sockets() < AHEAD_PART * settings.sockets()
-        && opening < settings.openingAll()
-        && free().size() + opening < freeAtMost();
+  /** Returns whether enough sockets are left to open a connection ahead of need. */
+  boolean mayOpenAheadOfNeed() {
+    return socketCount() < MAX_SOCKET_SHARE_AHEAD_OF_NEED * settings.maxSockets()
+        && openingCount < settings.openingTotal()
+        && freeConnections().size() + openingCount < maxFreeConnections();
   }
 
   /**
-   * Takes one of the sockets that all servers share; null if none is to be had. Guards against
-   * running out of descriptors, after which neither a client nor a server could be reached. Where
-   * all are taken, the server with the most connections gives one that is free, so that those with
-   * few are served first (max-min fairness); among equals the one that has been free longest.
+   * Allocates a connection from the sockets that all servers share; null if none is available. The
+   * limit keeps the node from running out of descriptors, after which it could reach neither
+   * clients nor servers. When all are in use, the server with the most connections gives up a free
+   * one, so that servers with few are served first (max-min fairness); among equals the connection
+   * that has been free longest is closed.
    */
-  Link take(long now, ServerLinks<A> server, int generation) {
-    if (opening >= settings.openingAll()) {
+  PooledConnection acquire(long now, ServerConnections<A> server, int generation) {
+    if (openingCount >= settings.openingTotal()) {
       return null;
     }
-    if (sockets() >= settings.sockets()) {
-      ServerLinks<A> richest = richest(server);
+    if (socketCount() >= settings.maxSockets()) {
+      ServerConnections<A> richest = serverWithMostConnections(server);
       if (richest == null) {
         return null;
       }
-      richest.retire(richest.idlest());
+      richest.retireConnection(richest.longestFree());
     }
-    keepFew(1);
-    opening++;
-    Link link =
-        new Link(
-            ++lastLink,
+    retireExcessFree(1);
+    openingCount++;
+    PooledConnection connection =
+        new PooledConnection(
+            ++lastConnectionId,
             generation,
             now,
-            (long) (settings.idleNanos() * (1 - random.getAsDouble() / 5)),
-            (long) (settings.ageNanos() * (1 - random.getAsDouble() / 5)));
-    links.put(link.id, new Owned<>(server, link));
-    return link;
+            (long) (settings.idleTimeoutNanos() * (1 - random.getAsDouble() / 5)),
+            (long) (settings.maxAgeNanos() * (1 - random.getAsDouble() / 5)));
+    connections.put(connection.id, new OwnedConnection<>(server, connection));
+    return connection;
   }
 
-  private List<Owned<A>> free() {
-    List<Owned<A>> free = new ArrayList<>();
-    for (Owned<A> owned : links.values()) {
-      if (owned.link().free()) {
+  private List<OwnedConnection<A>> freeConnections() {
+    List<OwnedConnection<A>> free = new ArrayList<>();
+    for (OwnedConnection<A> owned : connections.values()) {
+      if (owned.connection().isFree()) {
         free.add(owned);
       }
     }
     return free;
   }
 
-  /** How many free connections this node keeps, at all servers of the list together. */
-  int freeAtMost() {
-    return (int) Math.max(1, Math.ceil(settings.freeEach() * servers.size() - 1e-9));
+  /** Returns how many free connections this node keeps, at all listed servers together. */
+  int maxFreeConnections() {
+    return (int) Math.max(1, Math.ceil(settings.freePerServer() * servers.size() - 1e-9));
   }
 
   /**
-   * Ends the free connections beyond this node's part, those first that have been free longest.
-   * Servers take so many from all nodes together, and none sees the others: where each keeps one at
-   * each server, as soon as there are more nodes than a server takes connections, the last to come
-   * find every door shut, however little goes on. Which ones a node keeps goes by its own use.
+   * Retires the free connections beyond this node's share, least recently used first. A server's
+   * connections are shared by all nodes, and no node sees the others: if each kept one at each
+   * server, then with more nodes than a server accepts connections the last ones would be refused
+   * everywhere, even at low load. Which ones a node keeps follows from its own use.
    *
-   * @param room for how many more
+   * @param reserved for how many further connections to leave room
    */
-  private void keepFew(int room) {
-    List<Owned<A>> free = free();
-    int beyond = free.size() + room - freeAtMost();
-    if (beyond <= 0) {
+  private void retireExcessFree(int reserved) {
+    List<OwnedConnection<A>> free = freeConnections();
+    int excess = free.size() + reserved - maxFreeConnections();
+    if (excess <= 0) {
       return;
     }
-    free.sort((a, b) -> Long.signum(a.link().usedAt - b.link().usedAt));
-    for (Owned<A> owned : free.subList(0, beyond)) {
-      owned.server().retire(owned.link());
+    free.sort((a, b) -> Long.signum(a.connection().lastUsedAt - b.connection().lastUsedAt));
+    for (OwnedConnection<A> owned : free.subList(0, excess)) {
+      owned.server().retireConnection(owned.connection());
     }
   }
 
-  /** The server with the most connections of those that have a free one. */
-  private ServerLinks<A> richest(ServerLinks<A> but) {
-    ServerLinks<A> richest = null;
-    Link idlest = null;
-    for (ServerLinks<A> server : servers.values()) {
-      Link idle = server == but ? null : server.idlest();
-      if (idle != null
+  /** Returns the server with the most connections among those that have a free one. */
+  private ServerConnections<A> serverWithMostConnections(ServerConnections<A> excluded) {
+    ServerConnections<A> richest = null;
+    PooledConnection longestFree = null;
+    for (ServerConnections<A> server : servers.values()) {
+      PooledConnection freeConnection = server == excluded ? null : server.longestFree();
+      if (freeConnection != null
           && (richest == null
-              || server.count() > richest.count()
-              || (server.count() == richest.count() && idle.usedAt - idlest.usedAt < 0))) {
+              || server.connectionCount() > richest.connectionCount()
+              || (server.connectionCount() == richest.connectionCount()
+                  && freeConnection.lastUsedAt - longestFree.lastUsedAt < 0))) {
         richest = server;
-        idlest = idle;
+        longestFree = freeConnection;
       }
     }
     return richest;
--- a/src/main/java/beamspread/relay/Relay.java
+++ b/src/main/java/beamspread/relay/Relay.java
@@ -1,214 +1,220 @@
 package beamspread.relay;
 
-/** One value on its way from a cache server to a client. Not for more than one thread. */
+/** Relays one large value from a cache server to a client. Not thread-safe. */
 public final class Relay {
-  private enum State {
-    /** Parts come and go on to the client. */
-    PASSING,
+  private enum Phase {
+    /** Parts are received and passed on to the client. */
+    RELAYING,
 
-    /** The whole value has come; the client has not taken all of it. */
-    WHOLE,
+    /** The whole value was received; the client has not read all of it. */
+    COMPLETE,
 
-    /** No more will come; the client may take what there is. */
-    BROKEN,
+    /** No more will be received; the client may read what there is. */
+    ABORTED,
 
-    /** The client has gone, and the rest is read and dropped. */
-    SKIPPING,
+    /** The client has disconnected or was cut; the rest is read and dropped. */
+    DISCARDING,
 
-    OVER
+    ENDED
   }
 
-  private final Relays all;
+  private final Relays relays;
   private final RelayActions actions;
-  private State state = State.PASSING;
+  private Phase phase = Phase.RELAYING;
 
-  /** Bytes that the cache server still owes. */
-  private long missing;
+  /** Bytes not yet received from the cache server. */
+  private long remainingBytes;
 
-  /** Bytes that were read and that the client has not taken. */
-  private int held;
+  /** Bytes received and not yet read by the client. */
+  private int heldBytes;
 
-  /** Whether the answers before this one are with the client. */
-  private boolean turn;
+  /** Whether all earlier answers are with the client, so that this value is being written. */
+  private boolean clientReady;
 
-  private long heardAt;
+  private long lastReceivedAt;
 
-  /** Since when the client has been taking what is counted in {@code paced}. */
-  private long paceAt;
+  /** Start of the current pace window, and bytes read by the client within it. */
+  private long paceWindowStart;
 
-  private long paced;
+  private long paceWindowBytes;
 
-  Relay(Relays all, RelayActions actions, long now, long length) {
-    this.all = all;
+  Relay(Relays relays, RelayActions actions, long now, long length) {
+    this.relays = relays;
     this.actions = actions;
-    this.missing = length;
-    this.heardAt = now;
+    this.remainingBytes = length;
+    this.lastReceivedAt = now;
   }
 
-  int held() {
-    return held;
+  int heldBytes() {
+    return heldBytes;
   }
 
   /**
-   * A part has come.
+   * Records a received part.
    *
-   * @return whether it goes on to the client; else it is dropped
+   * @return whether it is passed on to the client; otherwise it is dropped
    */
-  public boolean came(long now, int bytes) {
-    heardAt = now;
-    missing -= bytes;
-    if (state != State.PASSING) {
+  public boolean received(long now, int bytes) {
+    lastReceivedAt = now;
+    remainingBytes -= bytes;
+    if (phase != Phase.RELAYING) {
       return false;
     }
-    if (held == 0) {
-      restartPace(now);
+    if (heldBytes == 0) {
+      restartPaceWindow(now);
     }
-    held += bytes;
-    all.held(bytes);
-    if (all.pauses(this)) {
-      actions.reading(false);
+    heldBytes += bytes;
+    relays.heldBytes(bytes);
+    if (relays.pauseIfFull(this)) {
+      actions.setReading(false);
     }
     return true;
   }
 
-  /** The value has come in full, and is as long as was said. */
-  public void whole(long now) {
-    heardAt = now;
-    if (state == State.SKIPPING) {
+  /** Records that the value was received in full, with the announced length. */
+  public void completed(long now) {
+    lastReceivedAt = now;
+    if (phase == Phase.DISCARDING) {
       end(false);
-    } else if (state == State.PASSING) {
-      state = State.WHOLE;
-      all.unpause(this);
-      endIfTaken();
+    } else if (phase == Phase.RELAYING) {
+      phase = Phase.COMPLETE;
+      relays.unpause(this);
+      endIfDelivered();
     }
   }
 
   /**
-   * The cache server's connection has ended within the value, or what came there makes no sense.
+   * Records that the cache server's connection has ended within the value, or sent invalid data.
    */
-  public void broken() {
-    if (state == State.SKIPPING) {
+  public void aborted() {
+    if (phase == Phase.DISCARDING) {
       end(false);
-    } else if (state == State.PASSING) {
-      state = State.BROKEN;
-      all.brokenByServer();
-      all.unpause(this);
-      if (turn) {
-        endIfTaken();
+    } else if (phase == Phase.RELAYING) {
+      phase = Phase.ABORTED;
+      relays.recordAbortByServer();
+      relays.unpause(this);
+      if (clientReady) {
+        endIfDelivered();
       } else {
-        // Nothing of it is with the client yet, which can be told in a line of its own.
-        cut();
+        // Nothing of it was sent to the client yet, so the client gets an error line.
+        cutAndEnd();
       }
     }
   }
 
-  /** All answers before this one are with the client: its parts are being written. */
-  public void turn(long now) {
-    turn = true;
-    restartPace(now);
+  /** Records that all earlier answers are with the client and this value is being written. */
+  public void clientReady(long now) {
+    clientReady = true;
+    restartPaceWindow(now);
   }
 
-  /** The client has taken so much. */
-  public void taken(long now, int bytes) {
-    if (state == State.OVER || state == State.SKIPPING) {
+  /** Records that the client has read this many bytes. */
+  public void delivered(long now, int bytes) {
+    if (phase == Phase.ENDED || phase == Phase.DISCARDING) {
       return;
     }
-    held -= bytes;
-    paced += bytes;
-    if (paced >= all.settings().paceBytes()) {
-      restartPace(now);
+    heldBytes -= bytes;
+    paceWindowBytes += bytes;
+    if (paceWindowBytes >= relays.settings().minPaceBytes()) {
+      restartPaceWindow(now);
     }
-    endIfTaken();
-    all.freed(now, this, bytes);
+    endIfDelivered();
+    relays.released(now, this, bytes);
   }
 
-  /** The client has gone. */
-  public void clientGone(long now) {
-    if (state != State.OVER && state != State.SKIPPING) {
-      leave(now);
+  /** Records that the client has disconnected. */
+  public void clientDisconnected(long now) {
+    if (phase != Phase.ENDED && phase != Phase.DISCARDING) {
+      endForClient(now);
     }
   }
 
-  /** Ends the client's part; decides what becomes of what the server still owes. */
-  private void leave(long now) {
-    boolean more = state == State.PASSING;
-    int bytes = held;
-    held = 0;
-    if (!more) {
+  /**
+   * Ends the relay for the client, and decides whether the rest of the value is read or its
+   * connection closed.
+   */
+  private void endForClient(long now) {
+    boolean incomplete = phase == Phase.RELAYING;
+    int releasedBytes = heldBytes;
+    heldBytes = 0;
+    if (!incomplete) {
       end(false);
-    } else if (actions.shared() || missing <= all.settings().skipBytes()) {
-      // Closing would break what waits behind it, and a new connection costs the server more than
-      // a few bytes do.
-      state = State.SKIPPING;
-      heardAt = now;
-      if (all.unpause(this)) {
-        actions.reading(true);
+    } else if (actions.isShared() || remainingBytes <= relays.settings().maxDiscardBytes()) {
+      // Closing would break the answers that wait behind it, and a new connection costs the server
+      // more than the remaining bytes.
+      phase = Phase.DISCARDING;
+      lastReceivedAt = now;
+      if (relays.unpause(this)) {
+        actions.setReading(true);
       }
-      actions.over(false);
+      actions.ended(false);
     } else {
-      actions.closeServer();
+      actions.closeServerConnection();
       end(false);
     }
-    all.freed(now, this, bytes);
+    relays.released(now, this, releasedBytes);
   }
 
-  /** Time has passed. */
+  /** Checks the time limits of the server and the client. */
   void tick(long now) {
-    RelaySettings settings = all.settings();
-    boolean waits = state == State.PASSING || state == State.SKIPPING;
-    if (waits && !all.paused(this) && now - heardAt > settings.silentNanos()) {
-      actions.closeServer();
-      broken();
+    RelaySettings settings = relays.settings();
+    boolean awaitsServer = phase == Phase.RELAYING || phase == Phase.DISCARDING;
+    if (awaitsServer
+        && !relays.isPaused(this)
+        && now - lastReceivedAt > settings.maxSilenceNanos()) {
+      actions.closeServerConnection();
+      aborted();
     }
-    if (state != State.OVER
-        && state != State.SKIPPING
-        && turn
-        && held > 0
-        && now - paceAt > settings.paceNanos()) {
-      slow(now);
+    if (phase != Phase.ENDED
+        && phase != Phase.DISCARDING
+        && clientReady
+        && heldBytes > 0
+        && now - paceWindowStart > settings.paceWindowNanos()) {
+      endForSlowClient(now);
     }
   }
 
-  /** Guards against a client that takes next to nothing and holds a server's connection for it. */
-  private void slow(long now) {
-    all.slowClient();
-    actions.cut();
-    leave(now);
+  /** Ends the relay for a client that reads too slowly and thereby occupies a server connection. */
+  private void endForSlowClient(long now) {
+    relays.recordSlowClient();
+    actions.cutClient();
+    endForClient(now);
   }
 
   void resume(long now) {
-    // What the server wrote meanwhile lies in the socket: its silence begins now.
-    heardAt = now;
-    actions.reading(true);
+    // Data that the server wrote meanwhile is still in the socket: its silence is measured from
+    // now.
+    lastReceivedAt = now;
+    actions.setReading(true);
   }
 
-  private void restartPace(long now) {
-    paceAt = now;
-    paced = 0;
+  private void restartPaceWindow(long now) {
+    paceWindowStart = now;
+    paceWindowBytes = 0;
   }
 
-  private void endIfTaken() {
-    if (held > 0) {
+  private void endIfDelivered() {
+    if (heldBytes > 0) {
       return;
     }
-    if (state == State.WHOLE) {
+    if (phase == Phase.COMPLETE) {
       end(true);
-    } else if (state == State.BROKEN) {
-      cut();
+    } else if (phase == Phase.ABORTED) {
+      cutAndEnd();
     }
   }
 
-  private void cut() {
-    actions.cut();
+  private void cutAndEnd() {
+    actions.cutClient();
     end(false);
   }
 
-  private void end(boolean whole) {
-    boolean told = state == State.SKIPPING;
-    state = State.OVER;
-    all.ended(this, whole);
-    if (!told) {
-      actions.over(whole);
+  private void end(boolean complete) {
+    boolean alreadyReported = phase == Phase.DISCARDING;
+    phase = Phase.ENDED;
+    relays.ended(this, complete);
+    if (!alreadyReported) {
+      actions.ended(complete);
     }
   }
 }
--- a/src/main/java/beamspread/relay/RelayActions.java
+++ b/src/main/java/beamspread/relay/RelayActions.java
@@ -1,29 +1,29 @@
 package beamspread.relay;
 
 /**
- * What is decided about one value. Carried out at once; what comes of it is told to {@link Relay}
- * later, never from within one of these calls.
+ * The actions that a {@link Relay} requests for one value. They are carried out at once; their
+ * results are reported to the {@link Relay} later, never from within one of these calls.
  */
 public interface RelayActions {
-  /** Reads on from the cache server, or stops. Reading goes on at first. */
-  void reading(boolean on);
+  /** Resumes or pauses reading from the cache server. Reading is on at first. */
+  void setReading(boolean enabled);
 
-  /** Ends the cache server's connection: the rest of the value is not worth its reading. */
-  void closeServer();
+  /** Closes the cache server's connection, since the rest of the value is not worth reading. */
+  void closeServerConnection();
 
   /**
-   * Ends the value for the client so that it can tell that it is not whole. All that the client was
-   * given and can take is with it, unless the client is at fault.
+   * Ends the value for the client in a way that shows that it is incomplete. Unless the client is
+   * at fault, all bytes passed on before have been sent to it.
    */
-  void cut();
+  void cutClient();
 
-  /** Whether others wait behind this value on the cache server's connection. */
-  boolean shared();
+  /** Returns whether other answers wait behind this value on the cache server's connection. */
+  boolean isShared();
 
   /**
-   * It is over for the client, told once.
+   * Called once, when the relay has ended for the client.
    *
-   * @param whole whether the client has taken all of it
+   * @param complete whether the client has read the whole value
    */
-  void over(boolean whole);
+  void ended(boolean complete);
 }
--- a/src/main/java/beamspread/relay/RelaySettings.java
+++ b/src/main/java/beamspread/relay/RelaySettings.java
@@ -4,42 +4,53 @@
 import java.util.List;
 
 /**
- * What bounds the values that are passed on as they come.
+ * Limits on values that are relayed while they are received.
  *
- * @param holdEach bytes of one value that may be read and not yet taken by its client before the
- *     reading of it stops; one read more may come on top
- * @param holdAll the same over all values; beyond it only a value of which nothing is held is read
- * @param paceBytes how much a client must take within {@code paceNanos} of what waits for it
- * @param paceNanos how long it has for that
- * @param silentNanos how long a cache server may say nothing in the middle of a value
- * @param skipBytes how much of a value that nobody wants is still read, to keep its connection
+ * @param maxHeldPerValue bytes of one value that may be held, received and not yet read by its
+ *     client, before reading pauses; one more read may be added
+ * @param maxHeldTotal the same over all values; above it only values of which nothing is held are
+ *     read
+ * @param minPaceBytes how much of the held bytes a client must read within {@code paceWindowNanos}
+ * @param paceWindowNanos length of the window for {@code minPaceBytes}
+ * @param maxSilenceNanos how long a cache server may send nothing in the middle of a value
+ * @param maxDiscardBytes how much of an unwanted value is still read to keep its connection
  */
 public record RelaySettings(
-    int holdEach, long holdAll, int paceBytes, long paceNanos, long silentNanos, int skipBytes) {
+    int maxHeldPerValue,
+    long maxHeldTotal,
+    int minPaceBytes,
+    long paceWindowNanos,
+    long maxSilenceNanos,
+    int maxDiscardBytes) {
 
-  /** What a node has that may use so many bytes for it. */
-  public static RelaySettings usual(long holdAll) {
-    return new RelaySettings(1 << 19, holdAll, 1 << 15, 3_000_000_000L, 3_000_000_000L, 1 << 18);
+  /** Returns the defaults of a node that may use this many bytes for it. */
+  public static RelaySettings defaults(long maxHeldTotal) {
+    return new RelaySettings(
+        1 << 19, maxHeldTotal, 1 << 15, 3_000_000_000L, 3_000_000_000L, 1 << 18);
   }
 
-  /** All that makes no sense here, in words for operators; empty if nothing is wrong. */
-  public List<String> faults() {
-    List<String> faults = new ArrayList<>();
-    if (holdEach < 1) {
-      faults.add("holdEach must be at least 1, is " + holdEach);
+  /** Returns all invalid settings, as messages for operators; empty if all are valid. */
+  public List<String> validationErrors() {
+    List<String> errors = new ArrayList<>();
+    if (maxHeldPerValue < 1) {
+      errors.add("maxHeldPerValue must be at least 1, is " + maxHeldPerValue);
     }
-    if (holdAll < holdEach) {
-      faults.add("holdAll must be at least holdEach, which is " + holdEach + ", is " + holdAll);
+    if (maxHeldTotal < maxHeldPerValue) {
+      errors.add(
+          "maxHeldTotal must be at least maxHeldPerValue, which is "
+              + maxHeldPerValue
+              + ", is "
+              + maxHeldTotal);
     }
-    if (paceBytes < 1 || paceNanos < 1) {
-      faults.add("paceBytes and paceNanos must be at least 1");
+    if (minPaceBytes < 1 || paceWindowNanos < 1) {
+      errors.add("minPaceBytes and paceWindowNanos must be at least 1");
     }
-    if (silentNanos < 1) {
-      faults.add("silentNanos must be at least 1, is " + silentNanos);
+    if (maxSilenceNanos < 1) {
+      errors.add("maxSilenceNanos must be at least 1, is " + maxSilenceNanos);
     }
-    if (skipBytes < 0) {
-      faults.add("skipBytes must not be negative, is " + skipBytes);
+    if (maxDiscardBytes < 0) {
+      errors.add("maxDiscardBytes must not be negative, is " + maxDiscardBytes);
     }
-    return faults;
+    return errors;
   }
 }
--- a/src/main/java/beamspread/relay/Relays.java
+++ b/src/main/java/beamspread/relay/Relays.java
@@ -5,136 +5,141 @@
 import java.util.Set;
 
 /**
- * All values of one node that are on their way, and the memory that they share. Not for more than
- * one thread. Times are nanoseconds of one clock that never runs backwards; one that stands still
- * while the node does keeps a pause of the node from being held against its peers.
+ * All values that one node is relaying, and the memory that they share. Not thread-safe. Times are
+ * nanoseconds of one monotonic clock; with a clock that stops while the node is paused, a pause of
+ * the node is not counted against its peers.
  */
 public final class Relays {
   private final RelaySettings settings;
-  private final Set<Relay> open = new LinkedHashSet<>();
+  private final Set<Relay> openRelays = new LinkedHashSet<>();
 
-  /** Those whose reading has stopped, longest first. */
+  /** Relays whose reading is paused, longest paused first. */
   private final Set<Relay> paused = new LinkedHashSet<>();
 
-  private long held;
-  private long passed;
-  private long broken;
-  private long slow;
+  private long heldBytes;
+  private long completedCount;
+  private long abortedByServers;
+  private long slowClients;
 
   /**
-   * @throws IllegalArgumentException if the settings make no sense
+   * @throws IllegalArgumentException if the settings are invalid
    */
   public Relays(RelaySettings settings) {
-    if (!settings.faults().isEmpty()) {
-      throw new IllegalArgumentException(String.join("; ", settings.faults()));
+    if (!settings.validationErrors().isEmpty()) {
+      throw new IllegalArgumentException(String.join("; ", settings.validationErrors()));
     }
     this.settings = settings;
   }
 
   /**
-   * The head of a value has come.
+   * Starts to relay a value whose head was received.
    *
-   * @param length bytes that belong to it
+   * @param length length of the value in bytes
    */
   public Relay begin(long now, long length, RelayActions actions) {
     Relay relay = new Relay(this, actions, now, length);
-    open.add(relay);
+    openRelays.add(relay);
     return relay;
   }
 
-  /** Time has passed: ends what stands still. */
+  /** Ends relays that exceed a time limit, and resumes paused ones. */
   public void tick(long now) {
-    for (Relay relay : List.copyOf(open)) {
+    for (Relay relay : List.copyOf(openRelays)) {
       relay.tick(now);
     }
-    resumeAll(now);
+    resumePaused(now);
   }
 
-  /** Values on their way. */
-  public int open() {
-    return open.size();
+  /** Returns the number of values being relayed. */
+  public int openCount() {
+    return openRelays.size();
   }
 
-  /** Bytes that were read and that no client has taken. */
-  public long held() {
-    return held;
+  /** Returns the bytes received and not yet read by a client. */
+  public long heldBytes() {
+    return heldBytes;
   }
 
-  /** Values that clients have taken in full. */
-  public long passed() {
-    return passed;
+  /** Returns how many values clients have read in full. */
+  public long completedCount() {
+    return completedCount;
   }
 
-  /** Values that a cache server did not finish. */
-  public long brokenByServers() {
-    return broken;
+  /** Returns how many values a cache server did not finish. */
+  public long abortedByServers() {
+    return abortedByServers;
   }
 
-  /** Values whose clients took too little of them. */
+  /** Returns how many values were ended because their client read too slowly. */
   public long slowClients() {
-    return slow;
+    return slowClients;
   }
 
   RelaySettings settings() {
     return settings;
   }
 
-  void held(int bytes) {
-    held += bytes;
+  /** Adds received bytes to the held ones. */
+  void heldBytes(int bytes) {
+    heldBytes += bytes;
   }
 
-  /** Whether the reading of a value is to stop now: too much is held, and it still went on. */
-  boolean pauses(Relay relay) {
-    boolean much = relay.held() >= settings.holdEach() || held >= settings.holdAll();
-    return much && paused.add(relay);
+  /**
+   * Pauses the reading of a value if too much is held; returns whether it was not paused before.
+   */
+  boolean pauseIfFull(Relay relay) {
+    boolean full =
+        relay.heldBytes() >= settings.maxHeldPerValue() || heldBytes >= settings.maxHeldTotal();
+    return full && paused.add(relay);
   }
 
-  boolean paused(Relay relay) {
+  boolean isPaused(Relay relay) {
     return paused.contains(relay);
   }
 
-  /** Its reading has not stopped any more; whether it had. */
+  /** Removes a value from the paused ones; returns whether it was paused. */
   boolean unpause(Relay relay) {
     return paused.remove(relay);
   }
 
-  /** A value holds so much less: it reads on, or others do that had waited for the memory. */
-  void freed(long now, Relay by, int bytes) {
-    boolean full = held >= settings.holdAll();
-    held -= bytes;
-    resumeIfRoom(now, by);
-    if (full && held < settings.holdAll()) {
-      resumeAll(now);
+  /** Releases bytes held by a value, and resumes it or others that waited for the memory. */
+  void released(long now, Relay relay, int bytes) {
+    boolean wasFull = heldBytes >= settings.maxHeldTotal();
+    heldBytes -= bytes;
+    resumeIfRoom(now, relay);
+    if (wasFull && heldBytes < settings.maxHeldTotal()) {
+      resumePaused(now);
     }
   }
 
-  /** Who has waited longest reads on first. */
-  private void resumeAll(long now) {
+  /** Resumes paused relays, longest paused first. */
+  private void resumePaused(long now) {
     for (Relay relay : List.copyOf(paused)) {
       resumeIfRoom(now, relay);
     }
   }
 
   private void resumeIfRoom(long now, Relay relay) {
-    // One of which nothing is held reads in any case, so that each comes on, if slowly.
-    boolean room = held < settings.holdAll() && relay.held() <= settings.holdEach() / 2;
-    if ((room || relay.held() == 0) && paused.remove(relay)) {
+    // A value of which nothing is held is read in any case, so that each makes progress.
+    boolean room =
+        heldBytes < settings.maxHeldTotal() && relay.heldBytes() <= settings.maxHeldPerValue() / 2;
+    if ((room || relay.heldBytes() == 0) && paused.remove(relay)) {
       relay.resume(now);
     }
   }
 
-  void brokenByServer() {
-    broken++;
+  void recordAbortByServer() {
+    abortedByServers++;
   }
 
-  void slowClient() {
-    slow++;
+  void recordSlowClient() {
+    slowClients++;
   }
 
-  void ended(Relay relay, boolean whole) {
-    open.remove(relay);
+  void ended(Relay relay, boolean complete) {
+    openRelays.remove(relay);
     paused.remove(relay);
-    held -= relay.held();
-    passed += whole ? 1 : 0;
+    heldBytes -= relay.heldBytes();
+    completedCount += complete ? 1 : 0;
   }
 }
--- a/src/main/java/beamspread/replay/NodeText.java
+++ b/src/main/java/beamspread/replay/NodeText.java
@@ -61,17 +61,17 @@
   static String pool(Fleet fleet) {
     PoolSettings pool = fleet.poolSettings();
     Map<String, Object> all = new LinkedHashMap<>();
-    all.put("connections", pool.connections());
-    all.put("leaving", pool.leaving());
-    all.put("streaming", pool.streaming());
-    all.put("depth", pool.depth());
-    all.put("opening_each", pool.openingEach());
-    all.put("opening_all", pool.openingAll());
-    all.put("spare", pool.spare());
-    all.put("idle_s", pool.idleNanos() / 1e9);
-    all.put("age_s", pool.ageNanos() / 1e9);
-    all.put("suspect_s", pool.suspectNanos() / 1e9);
-    all.put("cold_s", pool.coldNanos() / 1e9);
+    all.put("connections", pool.connectionsPerServer());
+    all.put("leaving", pool.extraWhileRetiring());
+    all.put("streaming", pool.extraWhileStreaming());
+    all.put("depth", pool.multiplexingDepth());
+    all.put("opening_each", pool.openingPerServer());
+    all.put("opening_all", pool.openingTotal());
+    all.put("spare", pool.spareConnections());
+    all.put("idle_s", pool.idleTimeoutNanos() / 1e9);
+    all.put("age_s", pool.maxAgeNanos() / 1e9);
+    all.put("suspect_s", pool.suspectAfterNanos() / 1e9);
+    all.put("cold_s", pool.coldPeriodNanos() / 1e9);
     return Json.text(all);
   }
 
--- a/src/main/java/beamspread/report/Tallies.java
+++ b/src/main/java/beamspread/report/Tallies.java
@@ -72,7 +72,7 @@
     try (var in = Files.newInputStream(file);
         var text = new BufferedReader(new InputStreamReader(in, decoder))) {
       for (String line = text.readLine(); line != null; line = text.readLine()) {
-        int head = line.indexOf(Tally.HEAD + " at=");
+        int head = line.indexOf(Tally.LINE_PREFIX + " at=");
         if (head >= 0 && !add(node, line.substring(head))) {
           unreadable++;
         }
@@ -87,7 +87,7 @@
     Matcher pairs = PAIR.matcher(line);
     while (pairs.find()) {
       try {
-        if (pairs.group(1).equals(Tally.SHUT)) {
+        if (pairs.group(1).equals(Tally.CONNECT_FAILURES_FIELD)) {
           for (String one : pairs.group(2).split(",")) {
             String[] parts = one.split(":", 2);
             shut.put(parts[0], Long.parseLong(parts.length == 2 ? parts[1] : ""));
--- a/src/main/java/beamspread/standin/CacheServer.java
+++ b/src/main/java/beamspread/standin/CacheServer.java
@@ -1,6 +1,6 @@
 package beamspread.standin;
 
-import beamspread.loop.Listener;
+import beamspread.loop.ListeningSocket;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
@@ -126,7 +126,7 @@
   /** Has something listen on a free port of the loopback address. */
   static Channel listen(EventLoop loop, java.util.function.Consumer<Channel> accept)
       throws IOException, InterruptedException {
-    return Listener.open(
+    return ListeningSocket.open(
         new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class),
         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
         "cannot listen",
--- a/src/main/java/beamspread/store/StoreServer.java
+++ b/src/main/java/beamspread/store/StoreServer.java
@@ -1,6 +1,6 @@
 package beamspread.store;
 
-import beamspread.loop.Listener;
+import beamspread.loop.ListeningSocket;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoopGroup;
@@ -44,7 +44,7 @@
     this.store = store;
     try {
       listener =
-          Listener.open(
+          ListeningSocket.open(
               new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class),
               address,
               "cannot listen on " + address.getHostString() + ":" + address.getPort(),
