--- a/src/test/java/beamspread/ArchitectureTest.java
+++ b/src/test/java/beamspread/ArchitectureTest.java
@@ -9,9 +9,9 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** The table of docs/ARCHITECTURE.md. */
+/** Checks the dependency rules in the table of docs/ARCHITECTURE.md. */
 class ArchitectureTest {
-  private static final String[] OPERATIONS = {
+  private static final String[] OPERATIONS_PACKAGES = {
     "beamspread.record..",
     "beamspread.lease..",
     "beamspread.agent..",
@@ -27,7 +27,7 @@
     "beamspread.cli.."
   };
 
-  private static final String[] IO = {
+  private static final String[] IO_PACKAGES = {
     "io.netty..",
     "java.net..",
     "java.nio.channels..",
@@ -36,18 +36,18 @@
     "javax.sql.."
   };
 
-  private static final JavaClasses ALL =
+  private static final JavaClasses MAIN_CLASSES =
       new ClassFileImporter()
           .withImportOption(new ImportOption.DoNotIncludeTests())
           .importPackages("beamspread");
 
   @Test
-  void packagesDependInOneDirectionOnly() {
-    slices().matching("beamspread.(*)..").should().beFreeOfCycles().check(ALL);
+  void packagesAreFreeOfCycles() {
+    slices().matching("beamspread.(*)..").should().beFreeOfCycles().check(MAIN_CLASSES);
   }
 
   @Test
-  void theDecisionModuleIsPure() {
+  void decisionModuleDependsOnlyOnModelAndJavaBase() {
     classes()
         .that()
         .resideInAPackage("beamspread.policy..")
@@ -55,12 +55,12 @@
         .onlyDependOnClassesThat()
         .resideInAnyPackage(
             "beamspread.policy..", "beamspread.model..", "java.lang..", "java.util..")
-        .check(ALL);
+        .check(MAIN_CLASSES);
   }
 
   @Test
-  void theDecisionsAboutConnectionsAndLargeValuesArePure() {
-    for (String decides :
+  void decisionPackagesUseNoInputOutputOrClocks() {
+    for (String packagePattern :
         new String[] {
           "beamspread.pool..",
           "beamspread.relay..",
@@ -70,24 +70,25 @@
         }) {
       classes()
           .that()
-          .resideInAPackage(decides)
+          .resideInAPackage(packagePattern)
           .should()
           .onlyDependOnClassesThat()
-          .resideInAnyPackage(decides, "java.lang..", "java.util..", "java.nio", "java.nio.charset")
-          .check(ALL);
+          .resideInAnyPackage(
+              packagePattern, "java.lang..", "java.util..", "java.nio", "java.nio.charset")
+          .check(MAIN_CLASSES);
       noClasses()
           .that()
-          .resideInAPackage(decides)
+          .resideInAPackage(packagePattern)
           .should()
           .callMethod(System.class, "nanoTime")
           .orShould()
           .callMethod(System.class, "currentTimeMillis")
-          .check(ALL);
+          .check(MAIN_CLASSES);
     }
   }
 
   @Test
-  void canonicalKeysAreDecidedWithoutInputOutputOrClocks() {
+  void variantsUseNoInputOutputOrClocks() {
     classes()
         .that()
         .resideInAPackage("beamspread.variants..")
@@ -100,17 +101,17 @@
             "java.nio",
             "java.nio.charset",
             "java.security")
-        .check(ALL);
+        .check(MAIN_CLASSES);
     noClasses()
         .that()
         .resideInAPackage("beamspread.variants..")
         .should()
         .callMethod(System.class, "nanoTime")
-        .check(ALL);
+        .check(MAIN_CLASSES);
   }
 
   @Test
-  void whatOperatorsSayIsDecidedWithoutInputOutputOrClocks() {
+  void maintenanceUsesNoInputOutputOrClocks() {
     classes()
         .that()
         .resideInAPackage("beamspread.maintenance..")
@@ -118,11 +119,11 @@
         .onlyDependOnClassesThat()
         .resideInAnyPackage(
             "beamspread.maintenance..", "beamspread.model..", "java.lang..", "java.util..")
-        .check(ALL);
+        .check(MAIN_CLASSES);
   }
 
   @Test
-  void theModelRunsTheRealDecisionsOnVirtualTimeAlone() {
+  void simulationUsesNoNetworkOrRealTime() {
     noClasses()
         .that()
         .resideInAPackage("beamspread.lab..")
@@ -133,19 +134,19 @@
         .callMethod(System.class, "nanoTime")
         .orShould()
         .callMethod(System.class, "currentTimeMillis")
-        .check(ALL);
+        .check(MAIN_CLASSES);
   }
 
   @Test
-  void decisionsAreFreeOfInputOutputAndClocks() {
-    for (String decides :
+  void decisionClassesUseNoInputOutputOrClocks() {
+    for (String className :
         new String[] {
           "beamspread.agent.InstanceMachine",
           "beamspread.agent.InstanceLeases",
           "beamspread.fleet.Rollout",
           "beamspread.fleet.Selection",
           "beamspread.fleet.Resume",
-          "beamspread.loop.LoopWatch",
+          "beamspread.loop.EventLoopMonitor",
           "beamspread.store.WriteDesk",
           "beamspread.store.IdWindow",
           "beamspread.chaos.Schedule",
@@ -161,20 +162,20 @@
         }) {
       noClasses()
           .that()
-          .haveFullyQualifiedName(decides)
+          .haveFullyQualifiedName(className)
           .should()
           .dependOnClassesThat()
-          .resideInAnyPackage(IO)
+          .resideInAnyPackage(IO_PACKAGES)
           .orShould()
           .callMethod(System.class, "nanoTime")
           .orShould()
           .callMethod(System.class, "currentTimeMillis")
-          .check(ALL);
+          .check(MAIN_CLASSES);
     }
   }
 
   @Test
-  void aNodeNeedsNothingOfOperations() {
+  void nodePackagesDoNotDependOnOperations() {
     noClasses()
         .that()
         .resideInAnyPackage(
@@ -192,13 +193,13 @@
             "beamspread.node..")
         .should()
         .dependOnClassesThat()
-        .resideInAnyPackage(OPERATIONS)
-        .check(ALL);
+        .resideInAnyPackage(OPERATIONS_PACKAGES)
+        .check(MAIN_CLASSES);
   }
 
   @Test
-  void theNodesPackagesDependInOneDirectionOnly() {
-    slices().matching("beamspread.node.(*)..").should().beFreeOfCycles().check(ALL);
+  void nodeSubpackagesAreFreeOfCycles() {
+    slices().matching("beamspread.node.(*)..").should().beFreeOfCycles().check(MAIN_CLASSES);
     noClasses()
         .that()
         .resideInAnyPackage(
@@ -213,31 +214,31 @@
         .should()
         .dependOnClassesThat()
         .resideInAPackage("beamspread.node")
-        .check(ALL);
+        .check(MAIN_CLASSES);
   }
 
   @Test
-  void theRecordKnowsNoAgentAndTheOperatorsSideNoAgentsInside() {
+  void recordFleetAndAgentPackagesAreIndependent() {
     noClasses()
         .that()
         .resideInAPackage("beamspread.record..")
         .should()
         .dependOnClassesThat()
         .resideInAnyPackage("beamspread.agent..", "beamspread.fleet..", "beamspread.node..")
-        .check(ALL);
+        .check(MAIN_CLASSES);
     noClasses()
         .that()
         .resideInAPackage("beamspread.fleet..")
         .should()
         .dependOnClassesThat()
         .resideInAnyPackage("beamspread.agent..", "beamspread.record..", "beamspread.node..")
-        .check(ALL);
+        .check(MAIN_CLASSES);
     noClasses()
         .that()
         .resideInAPackage("beamspread.agent..")
         .should()
         .dependOnClassesThat()
         .resideInAnyPackage("beamspread.node..", "beamspread.cli..", "beamspread.standin..")
-        .check(ALL);
+        .check(MAIN_CLASSES);
   }
 }
--- a/src/test/java/beamspread/JarsIT.java
+++ b/src/test/java/beamspread/JarsIT.java
@@ -11,10 +11,12 @@
 import java.util.jar.JarFile;
 import org.junit.jupiter.api.Test;
 
-/** The two jars, as they were packaged. */
+/** Checks the contents of the two packaged jars. */
 class JarsIT {
-  /** Packages with at least one class, so that the list stays short enough to be read. */
-  private static TreeSet<String> packages(Path jar) throws IOException {
+  /**
+   * Returns the packages with at least one class; a list of classes would be too long to review.
+   */
+  private static TreeSet<String> packagesOf(Path jar) throws IOException {
     TreeSet<String> packages = new TreeSet<>();
     try (JarFile file = new JarFile(jar.toFile())) {
       file.stream()
@@ -27,14 +29,14 @@
   }
 
   @Test
-  void theNodeJarHoldsWhatTheListNamesAndNothingElse() throws IOException {
+  void nodeJarContainsExactlyTheListedPackages() throws IOException {
     Path list = Path.of("src/test/resources/node-jar-packages.txt");
-    assertThat(packages(Path.of("target/beamspread.jar")))
+    assertThat(packagesOf(Path.of("target/beamspread.jar")))
         .containsExactlyElementsOf(Files.readAllLines(list));
   }
 
   @Test
-  void theOperationsJarRunsByItself() throws Exception {
+  void operationsJarRunsStandalone() throws Exception {
     Path out = Files.createTempFile("ops", ".out");
     Process process =
         new ProcessBuilder(
@@ -52,7 +54,7 @@
     assertThat(Files.readString(out, StandardCharsets.UTF_8))
         .contains("deploy/agent.toml: good, 2 instances");
     assertThat(process.exitValue()).isZero();
-    assertThat(packages(Path.of("target/beamspread-ops.jar")))
+    assertThat(packagesOf(Path.of("target/beamspread-ops.jar")))
         .contains("beamspread/record", "org/sqlite", "org/postgresql", "com/zaxxer/hikari");
   }
 }
--- a/src/test/java/beamspread/LeakCheck.java
+++ b/src/test/java/beamspread/LeakCheck.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.extension.BeforeAllCallback;
 import org.junit.jupiter.api.extension.ExtensionContext;
 
-/** Fails a test class after which a buffer was collected that nobody had released. */
+/** Fails a test class if a buffer was garbage-collected without being released. */
 public final class LeakCheck implements BeforeAllCallback, AfterAllCallback {
   private static final List<String> LEAKS = new CopyOnWriteArrayList<>();
 
@@ -66,7 +66,7 @@
     for (int i = 0; i < 5; i++) {
       System.gc();
       Thread.sleep(20);
-      // What was collected is reported when the next buffer is made.
+      // Leaks are reported when the next buffer is allocated.
       PooledByteBufAllocator.DEFAULT.directBuffer(16).release();
     }
     assertEquals(List.of(), LEAKS);
--- a/src/test/java/beamspread/maintenance/DetachmentsTest.java
+++ b/src/test/java/beamspread/maintenance/DetachmentsTest.java
@@ -17,83 +17,87 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** What operators say holds over what the list says. */
+/** Tests that detached servers stay detached whatever the list says. */
 class DetachmentsTest {
   private final Detachments detachments = new Detachments();
 
-  private static ServerEntry line(long id, ServerEntry.State state, double started) {
+  private static ServerEntry entry(long id, ServerEntry.State state, double started) {
     return new ServerEntry(id, "a", "box", 0, state, 1, started);
   }
 
-  private static ServerEntry ready(long id) {
-    return line(id, ServerEntry.State.READY, 0);
+  private static ServerEntry readyEntry(long id) {
+    return entry(id, ServerEntry.State.READY, 0);
   }
 
-  private List<ServerEntry> told(Kind kind, ServerEntry... entries) {
+  private List<ServerEntry> overlay(Kind kind, ServerEntry... entries) {
     return detachments.overlay(new MembershipUpdate(kind, 1, List.of(entries))).entries();
   }
 
   @Test
-  void oneThatIsOutIsToldAsDrainingByEveryListUntilItIsPutBack() {
-    told(Kind.FULL, ready(1), ready(2));
+  void aDetachedServerIsDrainingInEveryListUntilItIsAttached() {
+    overlay(Kind.FULL, readyEntry(1), readyEntry(2));
     assertThat(detachments.detach(1).state()).isEqualTo(ServerEntry.State.DRAINING);
-    assertThat(detachments.avoided()).isEqualTo(1);
+    assertThat(detachments.avoidedCount()).isEqualTo(1);
     for (Kind kind : List.of(Kind.FULL, Kind.CHANGES, Kind.REMEMBERED)) {
-      // Restarted meanwhile, says the list: it stays out.
-      assertThat(told(kind, line(1, ServerEntry.State.READY, 90)))
-          .containsExactly(line(1, ServerEntry.State.DRAINING, 90));
+      // The list reports a restart meanwhile: the server stays detached.
+      assertThat(overlay(kind, entry(1, ServerEntry.State.READY, 90)))
+          .containsExactly(entry(1, ServerEntry.State.DRAINING, 90));
     }
-    told(Kind.CHANGES, line(1, ServerEntry.State.GONE, 0));
-    assertThat(told(Kind.CHANGES, ready(1)).get(0).state()).isEqualTo(ServerEntry.State.DRAINING);
-    assertThat(detachments.attach(100, 1)).isEqualTo(line(1, ServerEntry.State.READY, 100));
-    assertThat(told(Kind.FULL, ready(1))).containsExactly(line(1, ServerEntry.State.READY, 100));
-    // The list may tell the start late, and must not make the server warm, nor cold once more.
-    assertThat(told(Kind.FULL, line(1, ServerEntry.State.READY, 95)).get(0).startedAt())
+    overlay(Kind.CHANGES, entry(1, ServerEntry.State.GONE, 0));
+    assertThat(overlay(Kind.CHANGES, readyEntry(1)).get(0).state())
+        .isEqualTo(ServerEntry.State.DRAINING);
+    assertThat(detachments.attach(100, 1)).isEqualTo(entry(1, ServerEntry.State.READY, 100));
+    assertThat(overlay(Kind.FULL, readyEntry(1)))
+        .containsExactly(entry(1, ServerEntry.State.READY, 100));
+    // The list may report the start late; that must make the server neither warm nor cold once
+    // more.
+    assertThat(overlay(Kind.FULL, entry(1, ServerEntry.State.READY, 95)).get(0).startedAt())
         .isEqualTo(100);
-    assertThat(told(Kind.FULL, line(1, ServerEntry.State.READY, 300)).get(0).startedAt())
+    assertThat(overlay(Kind.FULL, entry(1, ServerEntry.State.READY, 300)).get(0).startedAt())
         .isEqualTo(300);
   }
 
   @Test
-  void repeatedCallsChangeNothing() {
-    told(Kind.FULL, ready(1));
+  void repeatedCallsHaveNoEffect() {
+    overlay(Kind.FULL, readyEntry(1));
     assertThat(detachments.attach(5, 1)).isNull();
-    assertThat(told(Kind.FULL, ready(1)).get(0).startedAt()).isZero();
+    assertThat(overlay(Kind.FULL, readyEntry(1)).get(0).startedAt()).isZero();
     assertThat(detachments.detach(1)).isNotNull();
     assertThat(detachments.detach(1)).isNull();
     assertThat(detachments.attach(6, 1)).isNotNull();
     assertThat(detachments.attach(7, 1)).isNull();
-    assertThat(told(Kind.FULL, ready(1)).get(0).startedAt()).isEqualTo(6);
+    assertThat(overlay(Kind.FULL, readyEntry(1)).get(0).startedAt()).isEqualTo(6);
   }
 
   @Test
-  void whatTheListItselfDrainsIsNotPutBackByOperators() {
-    told(Kind.FULL, line(1, ServerEntry.State.DRAINING, 0));
+  void attachingDoesNotOverrideADrainInTheList() {
+    overlay(Kind.FULL, entry(1, ServerEntry.State.DRAINING, 0));
     detachments.detach(1);
     assertThat(detachments.attach(5, 1).state()).isEqualTo(ServerEntry.State.DRAINING);
-    assertThat(detachments.avoided()).isEqualTo(1);
+    assertThat(detachments.avoidedCount()).isEqualTo(1);
   }
 
   @Test
-  void idsAreKnownOnceListedAlsoWhenTheyHaveLeft() {
+  void remembersIdsOfServersThatHaveLeft() {
     assertThat(detachments.knows(1)).isFalse();
-    told(Kind.FULL, ready(1));
-    told(Kind.FULL, ready(2));
+    overlay(Kind.FULL, readyEntry(1));
+    overlay(Kind.FULL, readyEntry(2));
     assertThat(detachments.knows(1)).isTrue();
-    assertThat(detachments.listed()).isEqualTo(1);
+    assertThat(detachments.listedCount()).isEqualTo(1);
     assertThat(detachments.detach(1)).isNull();
-    assertThat(told(Kind.CHANGES, ready(1)).get(0).state()).isEqualTo(ServerEntry.State.DRAINING);
+    assertThat(overlay(Kind.CHANGES, readyEntry(1)).get(0).state())
+        .isEqualTo(ServerEntry.State.DRAINING);
   }
 
   @Test
-  void memoryStaysWithinItsBounds() {
+  void memoryStaysBounded() {
     for (long id = 0; id < 70_000; id++) {
-      told(Kind.CHANGES, ready(id));
-      told(Kind.CHANGES, line(id, ServerEntry.State.GONE, 0));
+      overlay(Kind.CHANGES, readyEntry(id));
+      overlay(Kind.CHANGES, entry(id, ServerEntry.State.GONE, 0));
     }
-    assertThat(detachments.listed()).isZero();
+    assertThat(detachments.listedCount()).isZero();
     assertThat(LongStream.range(0, 70_000).filter(detachments::knows).count()).isEqualTo(1 << 12);
-    for (long id = 0; id < Detachments.MOST; id++) {
+    for (long id = 0; id < Detachments.MAX_DETACHED; id++) {
       detachments.detach(id);
     }
     assertThat(detachments.hasRoom()).isFalse();
@@ -101,49 +105,53 @@
     assertThat(detachments.detach(1)).isNull();
   }
 
-  /** Any order of lists and calls, against the plainest model of what must come of them. */
+  /** Compares random sequences of lists and calls with a simple model. */
   @Property(tries = 300)
-  void whatTheModuleHearsIsTheListButForWhatIsOut(@ForAll long seed) {
+  void overlaidListMatchesTheModelForRandomCalls(@ForAll long seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    Detachments under = new Detachments();
-    Set<Long> out = new HashSet<>();
-    Map<Long, ServerEntry> list = new HashMap<>();
-    Map<Long, ServerEntry> module = new HashMap<>();
+    Detachments detachments = new Detachments();
+    Set<Long> detachedIds = new HashSet<>();
+    Map<Long, ServerEntry> listedEntries = new HashMap<>();
+    Map<Long, ServerEntry> overlaidEntries = new HashMap<>();
     for (int step = 1; step < 200; step++) {
       long id = random.nextInt(6);
-      ServerEntry told = null;
+      ServerEntry result = null;
       switch (random.nextInt(4)) {
         case 0 -> {
-          out.add(id);
-          told = under.detach(id);
+          detachedIds.add(id);
+          result = detachments.detach(id);
         }
         case 1 -> {
-          out.remove(id);
-          told = under.attach(step, id);
+          detachedIds.remove(id);
+          result = detachments.attach(step, id);
         }
         default -> {
-          ServerEntry news =
-              line(id, ServerEntry.State.values()[random.nextInt(3)], random.nextInt(step));
-          if (news.state() == ServerEntry.State.GONE) {
-            list.remove(id);
+          ServerEntry changed =
+              entry(id, ServerEntry.State.values()[random.nextInt(3)], random.nextInt(step));
+          if (changed.state() == ServerEntry.State.GONE) {
+            listedEntries.remove(id);
           } else {
-            list.put(id, news);
+            listedEntries.put(id, changed);
           }
-          told =
-              under.overlay(new MembershipUpdate(Kind.CHANGES, 1, List.of(news))).entries().get(0);
+          result =
+              detachments
+                  .overlay(new MembershipUpdate(Kind.CHANGES, 1, List.of(changed)))
+                  .entries()
+                  .get(0);
         }
       }
-      if (told != null && told.state() == ServerEntry.State.GONE) {
-        module.remove(id);
-      } else if (told != null) {
-        module.put(id, told);
+      if (result != null && result.state() == ServerEntry.State.GONE) {
+        overlaidEntries.remove(id);
+      } else if (result != null) {
+        overlaidEntries.put(id, result);
       }
-      assertThat(module.keySet()).isEqualTo(list.keySet());
-      for (ServerEntry entry : module.values()) {
-        ServerEntry.State listed = list.get(entry.id()).state();
+      assertThat(overlaidEntries.keySet()).isEqualTo(listedEntries.keySet());
+      for (ServerEntry entry : overlaidEntries.values()) {
+        ServerEntry.State listedState = listedEntries.get(entry.id()).state();
         assertThat(entry.state())
-            .isEqualTo(out.contains(entry.id()) ? ServerEntry.State.DRAINING : listed);
-        assertThat(entry.startedAt()).isGreaterThanOrEqualTo(list.get(entry.id()).startedAt());
+            .isEqualTo(detachedIds.contains(entry.id()) ? ServerEntry.State.DRAINING : listedState);
+        assertThat(entry.startedAt())
+            .isGreaterThanOrEqualTo(listedEntries.get(entry.id()).startedAt());
       }
     }
   }
--- a/src/test/java/beamspread/node/ClosesTest.java
+++ b/src/test/java/beamspread/node/ClosesTest.java
@@ -221,8 +221,8 @@
   void thePausesAreOnTheStatus() throws Exception {
     try (Peers.Rig rig = new Peers.Rig(limits(9, LONG, LONG))) {
       new Hold(rig.node, 2 * SHORT).close();
-      Peers.await("a pause", () -> rig.node.watch().pauses() > 0);
-      assertTrue(rig.node.watch().longestNanos() >= 2 * SHORT);
+      Peers.await("a pause", () -> rig.node.watch().pauseCount() > 0);
+      assertTrue(rig.node.watch().longestTurnNanos() >= 2 * SHORT);
     }
   }
 }
--- a/src/test/java/beamspread/node/EverNewTest.java
+++ b/src/test/java/beamspread/node/EverNewTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import beamspread.LeakCheck;
-import beamspread.Retained;
+import beamspread.RetainedSizes;
 import beamspread.model.Settings;
 import beamspread.node.client.ClientConnections;
 import beamspread.node.discovery.MemberList;
@@ -108,7 +108,8 @@
         }
         assertThat(served).isGreaterThan(MANY * 9 / 10);
         Peers.await("clients' ends", () -> node.clients() == 0);
-        Map<String, Integer> held = node.loop().submit(() -> Retained.by(node)).get();
+        Map<String, Integer> held =
+            node.loop().submit(() -> RetainedSizes.maxSizesByOwner(node)).get();
         assertThat(held)
             .containsKeys(
                 "Targets.listed", "Pools.leaving", "OpenRequests.byId", "WakeTimers.byToken");
--- a/src/test/java/beamspread/node/LargeValuesTest.java
+++ b/src/test/java/beamspread/node/LargeValuesTest.java
@@ -75,7 +75,7 @@
         assertThat(client.line()).isEqualTo("VA 5 Os" + i);
         assertThat(client.line()).isEqualTo("hello");
       }
-      assertThat(rig.node.relays().passed()).isEqualTo(5);
+      assertThat(rig.node.relays().completedCount()).isEqualTo(5);
       assertThat(server.lines).hasSize(10);
       assertThat(server.connections).hasSizeLessThanOrEqualTo(2);
     }
@@ -98,19 +98,19 @@
   @Test
   void ofManyAtATimeLittleIsHeldThoughNoClientTakesAny() throws Exception {
     try (Peers.Server server = new Peers.Server(LargeValuesTest::answer);
-        Peers.Rig rig = new Peers.Rig(CALM, RelaySettings.usual(1 << 20), server)) {
+        Peers.Rig rig = new Peers.Rig(CALM, RelaySettings.defaults(1 << 20), server)) {
       List<Peers.Client> clients = new ArrayList<>();
       try {
         for (int i = 0; i < 6; i++) {
           clients.add(rig.client().read("L" + i));
         }
-        Peers.await("all are under way", () -> rig.node.relays().open() == 6);
-        Peers.await("reading has stopped", () -> rig.node.relays().held() >= 6 << 16);
-        assertThat(rig.node.relays().held()).isLessThan((1 << 20) + (6 << 16));
+        Peers.await("all are under way", () -> rig.node.relays().openCount() == 6);
+        Peers.await("reading has stopped", () -> rig.node.relays().heldBytes() >= 6 << 16);
+        assertThat(rig.node.relays().heldBytes()).isLessThan((1 << 20) + (6 << 16));
         for (int i = 0; i < 6; i++) {
           assertValue(clients.get(i), "L" + i);
         }
-        assertThat(rig.node.relays().passed()).isEqualTo(6);
+        assertThat(rig.node.relays().completedCount()).isEqualTo(6);
       } finally {
         for (Peers.Client client : clients) {
           client.close();
@@ -130,7 +130,7 @@
       client.bytes(MIB);
       server.breakConnections();
       assertThat(client.bytes(VALUE.length()).length).isLessThan(VALUE.length());
-      assertThat(rig.node.relays().brokenByServers()).isEqualTo(1);
+      assertThat(rig.node.relays().abortedByServers()).isEqualTo(1);
       assertThat(other.read("s").line()).isEqualTo("VA 5 Os");
     }
   }
@@ -167,8 +167,8 @@
         Peers.Client client = new Peers.Client(rig.address, 4096)) {
       client.read("L");
       Peers.await("it is given up", () -> rig.node.relays().slowClients() == 1);
-      Peers.await("nothing is under way", () -> rig.node.relays().open() == 0);
-      assertThat(rig.node.relays().held()).isZero();
+      Peers.await("nothing is under way", () -> rig.node.relays().openCount() == 0);
+      assertThat(rig.node.relays().heldBytes()).isZero();
       assertThat(client.line()).startsWith("VA ");
       assertThat(client.bytes(VALUE.length()).length).isLessThan(VALUE.length());
     }
@@ -182,8 +182,8 @@
         client.read("L");
         assertThat(client.line()).startsWith("VA ");
       }
-      Peers.await("nothing is held", () -> rig.node.relays().held() == 0);
-      Peers.await("nothing is under way", () -> rig.node.relays().open() == 0);
+      Peers.await("nothing is held", () -> rig.node.relays().heldBytes() == 0);
+      Peers.await("nothing is under way", () -> rig.node.relays().openCount() == 0);
       Peers.await("nothing is open", () -> rig.node.openRequests() == 0);
       try (Peers.Client client = rig.client()) {
         client.read("L2");
@@ -216,9 +216,9 @@
       client.read("s1");
       Peers.await("the first is out", () -> server.lines.size() == 1);
       client.read("L");
-      Peers.await("the value is on its way", () -> rig.node.relays().open() == 1);
+      Peers.await("the value is on its way", () -> rig.node.relays().openCount() == 1);
       server.breakOne(server.lines.get(1));
-      Peers.await("its end is seen", () -> rig.node.relays().brokenByServers() == 1);
+      Peers.await("its end is seen", () -> rig.node.relays().abortedByServers() == 1);
       server.send(server.lines.get(0), "VA 5 Os1 h1\r\nhello\r\n");
       assertThat(client.line()).isEqualTo("VA 5 Os1");
       assertThat(client.line()).isEqualTo("hello");
--- a/src/test/java/beamspread/node/MetaCommandTest.java
+++ b/src/test/java/beamspread/node/MetaCommandTest.java
@@ -12,12 +12,12 @@
 
 class MetaCommandTest {
   @Test
-  void answersHelloAndUnknownCommands() {
+  void answersNoOpAndUnknownCommands() {
     EmbeddedChannel channel =
         new EmbeddedChannel(new MetaCommand.Decoder(new MemoryBudget(100), List.of()));
     channel.writeInbound(Unpooled.copiedBuffer("mn\r\nnonsense\r\n", StandardCharsets.US_ASCII));
-    assertEquals("MN", channel.<MetaCommand>readInbound().reply);
-    assertEquals("ERROR", channel.<MetaCommand>readInbound().reply);
+    assertEquals("MN", channel.<MetaCommand>readInbound().immediateReply);
+    assertEquals("ERROR", channel.<MetaCommand>readInbound().immediateReply);
     channel.finishAndReleaseAll();
   }
 }
--- a/src/test/java/beamspread/node/Peers.java
+++ b/src/test/java/beamspread/node/Peers.java
@@ -528,7 +528,7 @@
           sockets,
           pool,
           servers,
-          RelaySettings.usual(1 << 22),
+          RelaySettings.defaults(1 << 22),
           SETTINGS);
     }
 
@@ -545,7 +545,7 @@
           256,
           pool,
           Arrays.stream(servers).map(Server::address).toList(),
-          RelaySettings.usual(1 << 22),
+          RelaySettings.defaults(1 << 22),
           settings);
     }
 
--- a/src/test/java/beamspread/node/PoolPlanTest.java
+++ b/src/test/java/beamspread/node/PoolPlanTest.java
@@ -27,16 +27,16 @@
   @Test
   void theSampleIsGoodAndAnAbsentFileMeansThePlatformsOwnFigures() throws Exception {
     PoolSettings sample = read(Files.readString(Path.of("deploy/pool.json")));
-    assertThat(sample.spare()).isEqualTo(1);
-    assertThat(sample.idleNanos()).isEqualTo(20_000_000_000L);
+    assertThat(sample.spareConnections()).isEqualTo(1);
+    assertThat(sample.idleTimeoutNanos()).isEqualTo(20_000_000_000L);
     PoolSettings own = read(null);
-    assertThat(own.connections()).isEqualTo(6);
-    assertThat(own.spare()).isZero();
-    assertThat(own.freeEach()).as("12 over a tier of two").isEqualTo(6);
-    assertThat(read("{\"free_each\":0.25}").freeEach()).isEqualTo(0.25);
-    assertThat(own.sockets()).isEqualTo(80);
+    assertThat(own.connectionsPerServer()).isEqualTo(6);
+    assertThat(own.spareConnections()).isZero();
+    assertThat(own.freePerServer()).as("12 over a tier of two").isEqualTo(6);
+    assertThat(read("{\"free_each\":0.25}").freePerServer()).isEqualTo(0.25);
+    assertThat(own.maxSockets()).isEqualTo(80);
     assertThat(read("{}")).isEqualTo(own);
-    assertThat(PoolPlan.of(SETTINGS, 64, null).freeEach()).as("few descriptors").isEqualTo(6);
+    assertThat(PoolPlan.of(SETTINGS, 64, null).freePerServer()).as("few descriptors").isEqualTo(6);
   }
 
   @Test
@@ -44,7 +44,7 @@
     Settings closesSoon =
         Peers.settings(
             new Settings.Limits(6, true, true, false, false, false, 1, 2, 0.8, 32, 20000));
-    assertThat(PoolPlan.of(closesSoon, 256, null).idleNanos()).isEqualTo(400_000_000L);
+    assertThat(PoolPlan.of(closesSoon, 256, null).idleTimeoutNanos()).isEqualTo(400_000_000L);
   }
 
   @Test
--- a/src/test/java/beamspread/node/PoolSocketsTest.java
+++ b/src/test/java/beamspread/node/PoolSocketsTest.java
@@ -20,7 +20,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.extension.ExtendWith;
 
-/** Connections to stand-in servers with a real limit, slow handshakes, idle closes and resets. */
+/**
+ * Tests connections to stand-in servers with a connection limit, slow handshakes, idle closes and
+ * resets.
+ */
 @ExtendWith(LeakCheck.class)
 class PoolSocketsTest {
   private static final long MS = 1_000_000L;
@@ -30,12 +33,12 @@
   private final List<CacheServer> servers = new ArrayList<>();
 
   @AfterEach
-  void end() {
+  void closeAll() {
     servers.forEach(CacheServer::close);
     group.shutdownGracefully(30, 1000, TimeUnit.MILLISECONDS).syncUninterruptibly();
   }
 
-  private Peers.Rig rig(int count, CacheServer.Conduct conduct, PoolSettings pool)
+  private Peers.Rig startRig(int count, CacheServer.Conduct conduct, PoolSettings pool)
       throws Exception {
     for (int i = 0; i < count; i++) {
       servers.add(new CacheServer(group.next(), conduct));
@@ -46,7 +49,7 @@
         servers.stream().map(CacheServer::address).toList());
   }
 
-  private static PoolSettings pool(int connections, int spare, long idleMillis) {
+  private static PoolSettings poolSettings(int connections, int spare, long idleMillis) {
     return new PoolSettings(
         connections,
         2,
@@ -63,7 +66,8 @@
         0);
   }
 
-  private OpenLoop.Window load(Peers.Rig rig, int rate, long millis, long seed) throws Exception {
+  private OpenLoop.Window runLoad(Peers.Rig rig, int rate, long millis, long seed)
+      throws Exception {
     OpenLoop.Window all = new OpenLoop.Window();
     for (OpenLoop.Window window :
         new OpenLoop(group.next(), rig.address, seed)
@@ -77,56 +81,56 @@
     return all;
   }
 
-  private long sum(java.util.function.ToLongFunction<CacheServer> figure) {
+  private long total(java.util.function.ToLongFunction<CacheServer> figure) {
     return servers.stream().mapToLong(figure).sum();
   }
 
   @Test
-  void aSurgeFromIdleToFullLoadLearnsTheLimitsAndKeepsToThem() throws Exception {
-    CacheServer.Conduct small = new CacheServer.Conduct(30_000, 4, true, 1000, 0);
-    try (Peers.Rig rig = rig(3, small, pool(12, 0, 30_000))) {
-      OpenLoop.Window window = load(rig, 600, 2000, 1);
+  void learnsServerLimitsDuringASurgeAndKeepsToThem() throws Exception {
+    CacheServer.Conduct conduct = new CacheServer.Conduct(30_000, 4, true, 1000, 0);
+    try (Peers.Rig rig = startRig(3, conduct, poolSettings(12, 0, 30_000))) {
+      OpenLoop.Window window = runLoad(rig, 600, 2000, 1);
       assertThat(window.served.getTotalCount() + window.refused + window.failed).isEqualTo(1200);
-      // How many are served is a matter of the machine's load; that some are shows that it works.
+      // How many are served depends on the machine's load; some must be.
       assertThat(window.served.getTotalCount()).isGreaterThan(100);
-      // Those under way together when a limit showed, and a rare try whether it still holds: the
-      // way before opened one for each request that found the others busy, a thousand of them.
-      assertThat(sum(CacheServer::beyondLimit)).isLessThan(250);
-      assertThat(sum(CacheServer::handshakes)).isLessThan(250);
+      // Connections opening together when a limit showed, and rare probes of the limit. Opening one
+      // for each request that finds the others busy would make a thousand handshakes.
+      assertThat(total(CacheServer::beyondLimit)).isLessThan(250);
+      assertThat(total(CacheServer::handshakes)).isLessThan(250);
     }
   }
 
   @Test
-  void noCommandGoesToAConnectionThatItsServerHasGivenUp() throws Exception {
-    CacheServer.Conduct hasty = new CacheServer.Conduct(1000, 40, true, 0, 1000);
-    try (Peers.Rig rig = rig(3, hasty, pool(6, 1, 250))) {
-      // Rests for about as long as connections are kept on either side.
-      for (long rest : new long[] {200, 300, 990, 1010, 0}) {
-        OpenLoop.Window window = load(rig, 200, 300, rest);
+  void writesNoCommandToAConnectionClosedByItsServer() throws Exception {
+    CacheServer.Conduct conduct = new CacheServer.Conduct(1000, 40, true, 0, 1000);
+    try (Peers.Rig rig = startRig(3, conduct, poolSettings(6, 1, 250))) {
+      // Pauses about as long as connections stay idle on either side.
+      for (long pauseMillis : new long[] {200, 300, 990, 1010, 0}) {
+        OpenLoop.Window window = runLoad(rig, 200, 300, pauseMillis);
         assertThat(window.failed).isZero();
-        Thread.sleep(rest);
+        Thread.sleep(pauseMillis);
       }
-      assertThat(sum(CacheServer::stale)).isZero();
-      assertThat(sum(CacheServer::served)).isGreaterThan(150);
+      assertThat(total(CacheServer::stale)).isZero();
+      assertThat(total(CacheServer::served)).isGreaterThan(150);
     }
   }
 
   @Test
-  void oneServerThatAcceptsSlowlyHoldsUpNoOther() throws Exception {
+  void aSlowlyAcceptingServerDoesNotDelayOthers() throws Exception {
     CacheServer.Conduct good = new CacheServer.Conduct(1000, 40, true, 0, 0);
-    try (Peers.Rig rig = rig(3, good, pool(6, 0, 30_000))) {
+    try (Peers.Rig rig = startRig(3, good, poolSettings(6, 0, 30_000))) {
       servers.get(0).behave(new CacheServer.Conduct(1000, 40, true, 300_000, 0));
-      OpenLoop.Window window = load(rig, 200, 1500, 4);
+      OpenLoop.Window window = runLoad(rig, 200, 1500, 4);
       assertThat(servers.get(1).served()).isGreaterThan(50);
       assertThat(servers.get(2).served()).isGreaterThan(50);
     }
   }
 
   @Test
-  void resetsUnderLoadLeaveNoSocketWithoutAnOwner() throws Exception {
+  void resetsUnderLoadLeakNoSockets() throws Exception {
     CacheServer.Conduct good = new CacheServer.Conduct(5000, 6, true, 500, 0);
-    try (Peers.Rig rig = rig(2, good, pool(8, 1, 30_000))) {
-      var breaks =
+    try (Peers.Rig rig = startRig(2, good, poolSettings(8, 1, 30_000))) {
+      var periodicResets =
           group
               .next()
               .scheduleAtFixedRate(
@@ -134,22 +138,22 @@
                   50,
                   50,
                   TimeUnit.MILLISECONDS);
-      OpenLoop.Window window = load(rig, 400, 1500, 5);
-      breaks.cancel(false);
+      OpenLoop.Window window = runLoad(rig, 400, 1500, 5);
+      periodicResets.cancel(false);
       assertThat(window.served.getTotalCount() + window.refused + window.failed).isEqualTo(600);
       assertThat(window.served.getTotalCount()).isGreaterThan(50);
       servers.forEach(CacheServer::breakConnections);
       Peers.await(
-          "every socket is given back or open",
+          "sockets are within the limits and requests have ended",
           () -> rig.node.serverSockets() <= 2 * (8 + 2) && rig.node.openRequests() == 0);
       servers.forEach(CacheServer::close);
       servers.forEach(CacheServer::breakConnections);
-      Peers.await("none is left", () -> rig.node.serverSockets() == 0);
+      Peers.await("no server socket is left", () -> rig.node.serverSockets() == 0);
     }
   }
 
   @Test
-  void twentyNodesThatMeetAtOneServerShareWhatItTakes() throws Exception {
+  void twentyNodesShareTheConnectionLimitOfOneServer() throws Exception {
     servers.add(new CacheServer(group.next(), new CacheServer.Conduct(10_000, 30, true, 500, 0)));
     List<Peers.Rig> rigs = new ArrayList<>();
     try {
@@ -157,17 +161,17 @@
         rigs.add(
             new Peers.Rig(
                 ClientConnections.Limits.usual(40),
-                pool(6, 0, 300),
+                poolSettings(6, 0, 300),
                 List.of(servers.get(0).address())));
       }
-      // A slow machine's node may find no connection free in the first round.
+      // On a slow machine a node may get no connection in the first round.
       Set<Integer> served = new HashSet<>();
       int rounds = 0;
       while (rounds < 5 && served.size() < 20) {
-        round(rigs, served, rounds++);
+        runRound(rigs, served, rounds++);
       }
       assertThat(served).as("nodes that the server has served").hasSize(20);
-      // Each node learns its share by a refusal or two, and tries again ever more rarely.
+      // Each node learns its share by one or two refusals, and probes at growing intervals.
       assertThat(servers.get(0).beyondLimit()).isLessThan(20L * 20 * rounds);
       Peers.await(
           "every request has ended", () -> rigs.stream().allMatch(r -> r.node.openRequests() == 0));
@@ -178,7 +182,7 @@
     }
   }
 
-  private void round(List<Peers.Rig> rigs, Set<Integer> served, int seed) throws Exception {
+  private void runRound(List<Peers.Rig> rigs, Set<Integer> served, int seed) throws Exception {
     List<CompletableFuture<List<OpenLoop.Window>>> loads = new ArrayList<>();
     for (int i = 0; i < rigs.size(); i++) {
       loads.add(
@@ -199,10 +203,10 @@
   }
 
   @Test
-  void aLimitThatFallsWhileAllConnectionsAreTakenIsLearntAnew() throws Exception {
+  void learnsALoweredLimitWhileAllConnectionsAreInUse() throws Exception {
     CacheServer.Conduct wide = new CacheServer.Conduct(20_000, 10, true, 500, 0);
-    try (Peers.Rig rig = rig(2, wide, pool(10, 0, 30_000))) {
-      var falls =
+    try (Peers.Rig rig = startRig(2, wide, poolSettings(10, 0, 30_000))) {
+      var limitChange =
           group
               .next()
               .schedule(
@@ -213,20 +217,20 @@
                   },
                   700,
                   TimeUnit.MILLISECONDS);
-      OpenLoop.Window window = load(rig, 400, 2500, 6);
-      assertThat(falls.isDone()).isTrue();
+      OpenLoop.Window window = runLoad(rig, 400, 2500, 6);
+      assertThat(limitChange.isDone()).isTrue();
       assertThat(window.served.getTotalCount() + window.refused + window.failed).isEqualTo(1000);
       assertThat(window.served.getTotalCount()).isGreaterThan(100);
-      // With the limit learnt it is a dozen or some dozens, by the machine's load; each request
-      // that
-      // finds no connection free would open one without: seven hundred and more.
-      assertThat(sum(CacheServer::beyondLimit)).isBetween(1L, 250L);
-      Peers.await("what is open fits", () -> rig.node.serverSockets() <= 2 * 3);
+      // With the limit learnt there are a dozen to some dozens of refusals, depending on the
+      // machine's load. Opening one for each request that finds no free connection would make over
+      // seven hundred.
+      assertThat(total(CacheServer::beyondLimit)).isBetween(1L, 250L);
+      Peers.await("open connections are within the limit", () -> rig.node.serverSockets() <= 2 * 3);
     }
   }
 
   @Test
-  void anAddressThatChangesUnderLoadTakesAllThatIsNewAlong() throws Exception {
+  void sendsNewRequestsToTheNewAddressAfterAChangeUnderLoad() throws Exception {
     CacheServer.Conduct good = new CacheServer.Conduct(2000, 40, true, 500, 0);
     for (int i = 0; i < 2; i++) {
       servers.add(new CacheServer(group.next(), good));
@@ -238,43 +242,43 @@
     String second = entry.formatted(2, servers.get(1).address().getPort());
     String head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     Peers.Server discovery =
-        new Peers.Server(line -> line.startsWith("GET ") ? head + chunk(first) : null);
+        new Peers.Server(line -> line.startsWith("GET ") ? head + httpChunk(first) : null);
     try (Peers.Rig rig = new Peers.Rig(discovery, ClientConnections.Limits.usual(120), 256)) {
-      Peers.await("the list is asked for", () -> !discovery.lines.isEmpty());
+      Peers.await("the list is requested", () -> !discovery.lines.isEmpty());
       try (Peers.Client client = rig.client()) {
-        Peers.await("the server is known", () -> served(client));
+        Peers.await("requests are served", () -> isServed(client));
       }
-      String asked = discovery.lines.get(0);
-      var moves =
+      String watchRequest = discovery.lines.get(0);
+      var addressChange =
           group
               .next()
               .schedule(
                   () -> {
-                    discovery.send(asked, chunk(second));
+                    discovery.send(watchRequest, httpChunk(second));
                     return true;
                   },
                   500,
                   TimeUnit.MILLISECONDS);
-      OpenLoop.Window window = load(rig, 200, 1500, 7);
-      assertThat(moves.get(10, TimeUnit.SECONDS)).isTrue();
+      OpenLoop.Window window = runLoad(rig, 200, 1500, 7);
+      assertThat(addressChange.get(10, TimeUnit.SECONDS)).isTrue();
       assertThat(window.served.getTotalCount() + window.refused + window.failed).isEqualTo(300);
-      assertThat(window.failed).as("none is lost on the way").isZero();
+      assertThat(window.failed).as("failed during the change").isZero();
       assertThat(servers.get(1).served()).isGreaterThan(20);
-      long before = servers.get(0).served();
-      load(rig, 100, 300, 8);
-      assertThat(servers.get(0).served()).as("nothing more goes there").isEqualTo(before);
+      long servedBefore = servers.get(0).served();
+      runLoad(rig, 100, 300, 8);
+      assertThat(servers.get(0).served()).as("requests at the old address").isEqualTo(servedBefore);
     }
   }
 
-  private static String chunk(String json) {
+  private static String httpChunk(String json) {
     return Integer.toHexString(json.length()) + "\r\n" + json + "\r\n";
   }
 
-  private int asks;
+  private int readCount;
 
-  private boolean served(Peers.Client client) {
+  private boolean isServed(Peers.Client client) {
     try {
-      String line = client.read("known" + asks++).line();
+      String line = client.read("known" + readCount++).line();
       return line.startsWith("VA ") && client.line() != null;
     } catch (java.io.IOException e) {
       throw new AssertionError(e);
--- a/src/test/java/beamspread/node/client/ClientConnectionsTest.java
+++ b/src/test/java/beamspread/node/client/ClientConnectionsTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import beamspread.loop.LoopWatch;
+import beamspread.loop.EventLoopMonitor;
 import beamspread.node.wire.MemoryBudget;
 import beamspread.node.wire.MetaCommand;
 import io.netty.channel.embedded.EmbeddedChannel;
@@ -37,7 +37,7 @@
       };
 
   private final ClientConnections connections =
-      new ClientConnections(LIMITS, new LoopWatch(pause -> {}));
+      new ClientConnections(LIMITS, new EventLoopMonitor(pause -> {}));
   private final List<EmbeddedChannel> open = new ArrayList<>();
 
   private void open(int count) {
--- a/src/test/java/beamspread/node/server/SlowPiecesTest.java
+++ b/src/test/java/beamspread/node/server/StalledReplyTest.java
@@ -33,53 +33,53 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.extension.ExtendWith;
 
-/** A reply that comes in small pieces: what counts is the time since the last one. */
+/** A reply that arrives in small pieces: the stall limit counts from the last piece. */
 @ExtendWith(LeakCheck.class)
-class SlowPiecesTest {
-  private static final long LIMIT = 60_000_000_000L;
-  private static final long GAP = 20_000_000L;
+class StalledReplyTest {
+  private static final long MAX_STALL_NANOS = 60_000_000_000L;
+  private static final long PIECE_INTERVAL_NANOS = 20_000_000L;
 
-  /** Nothing is under way; only the half reply is looked at. */
-  private static final class Nothing implements PoolActions<Attempt>, Outcomes {
+  /** Ignores all callbacks; only the incomplete reply is under test. */
+  private static final class NoOpHandlers implements PoolActions<Attempt>, AttemptListener {
     @Override
-    public void open(long server, long link) {}
+    public void open(long server, long connectionId) {}
 
     @Override
-    public boolean write(long link, Attempt attempt) {
+    public boolean write(long connectionId, Attempt attempt) {
       return true;
     }
 
     @Override
-    public void close(long link) {}
+    public void close(long connectionId) {}
 
     @Override
-    public void unreachable(Attempt attempt) {}
+    public void rejectUnreachable(Attempt attempt) {}
 
     @Override
-    public void full(Attempt attempt) {}
+    public void rejectFull(Attempt attempt) {}
 
     @Override
-    public boolean wanted(Attempt attempt) {
+    public boolean isWanted(Attempt attempt) {
       return true;
     }
 
     @Override
-    public void written(Attempt attempt) {}
+    public void attemptWritten(Attempt attempt) {}
 
     @Override
-    public void ended(Attempt attempt, Outcome.Result result) {}
+    public void attemptEnded(Attempt attempt, Outcome.Result result) {}
 
     @Override
-    public void replied(Attempt attempt, MetaReply reply) {}
+    public void replyReceived(Attempt attempt, MetaReply reply) {}
 
     @Override
-    public ValueSink begun(Attempt attempt, MetaReply head, ValueSource source) {
+    public ValueSink valueStarted(Attempt attempt, MetaReply head, ValueSource source) {
       return null;
     }
 
     @Override
-    public void report(String where, Throwable cause) {
-      throw new AssertionError(where, cause);
+    public void report(String component, Throwable cause) {
+      throw new AssertionError(component, cause);
     }
   }
 
@@ -92,7 +92,7 @@
     client.writeInbound(text("mg key v O1 Pc=read,d=500\r\n"));
     MetaCommand command = client.readInbound();
     client.finishAndReleaseAll();
-    return new Attempt(1, System.nanoTime() + LIMIT, false) {
+    return new Attempt(1, System.nanoTime() + MAX_STALL_NANOS, false) {
       @Override
       protected MetaCommand command() {
         return command;
@@ -101,15 +101,17 @@
   }
 
   @Test
-  void eachPieceHasItsOwnTimeAndTheLastOneToo() throws Exception {
-    Nothing nothing = new Nothing();
-    PoolSettings settings = new PoolSettings(1, 0, 0, 8, 8, 1, 1, 0, 1, LIMIT, 0, LIMIT, 0);
-    ServerLink link = new ServerLink(1, new Pools<>(settings, () -> 0, nothing), nothing, () -> {});
+  void theStallLimitRestartsWithEachPieceOfAReply() throws Exception {
+    NoOpHandlers handlers = new NoOpHandlers();
+    PoolSettings settings =
+        new PoolSettings(1, 0, 0, 8, 8, 1, 1, 0, 1, MAX_STALL_NANOS, 0, MAX_STALL_NANOS, 0);
+    ServerConnection connection =
+        new ServerConnection(1, new Pools<>(settings, () -> 0, handlers), handlers, () -> {});
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, LocalIoHandler.newFactory());
     EventLoop loop = group.next();
     CompletableFuture<Channel> accepted = new CompletableFuture<>();
     try {
-      LocalAddress address = new LocalAddress(SlowPiecesTest.class);
+      LocalAddress address = new LocalAddress(StalledReplyTest.class);
       new ServerBootstrap()
           .group(loop)
           .channel(LocalServerChannel.class)
@@ -123,19 +125,26 @@
           .bind(address)
           .sync();
       Bootstrap bootstrap = new Bootstrap().group(loop).channel(LocalChannel.class);
-      Channel channel = loop.submit(() -> link.open(bootstrap, address)).get().sync().channel();
+      Channel channel =
+          loop.submit(() -> connection.open(bootstrap, address)).get().sync().channel();
       Channel server = accepted.get(10, TimeUnit.SECONDS);
-      loop.submit(() -> link.write(attempt())).sync();
+      loop.submit(() -> connection.write(attempt())).sync();
       server.writeAndFlush(text("VA 50 O1 h1\r\nabc")).sync();
       loop.submit(() -> {}).sync();
-      long first = System.nanoTime();
-      Thread.sleep(GAP / 1_000_000);
+      long firstPieceAt = System.nanoTime();
+      Thread.sleep(PIECE_INTERVAL_NANOS / 1_000_000);
       server.writeAndFlush(text("def")).sync();
       loop.submit(() -> {}).sync();
-      loop.submit(() -> link.closeIfStuck(first + LIMIT + GAP / 2, LIMIT)).sync();
-      assertThat(channel.isOpen()).as("a piece came since").isTrue();
-      loop.submit(() -> link.closeIfStuck(System.nanoTime() + LIMIT, LIMIT)).sync();
-      assertThat(channel.isOpen()).as("nothing came for too long").isFalse();
+      loop.submit(
+              () ->
+                  connection.closeIfStalled(
+                      firstPieceAt + MAX_STALL_NANOS + PIECE_INTERVAL_NANOS / 2, MAX_STALL_NANOS))
+          .sync();
+      assertThat(channel.isOpen()).as("a piece arrived since").isTrue();
+      loop.submit(
+              () -> connection.closeIfStalled(System.nanoTime() + MAX_STALL_NANOS, MAX_STALL_NANOS))
+          .sync();
+      assertThat(channel.isOpen()).as("nothing arrived within the stall limit").isFalse();
     } finally {
       group.shutdownGracefully(30, 1000, TimeUnit.MILLISECONDS).syncUninterruptibly();
     }
--- a/src/test/java/beamspread/policy/EverNewTest.java
+++ b/src/test/java/beamspread/policy/EverNewTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beamspread.Retained;
+import beamspread.RetainedSizes;
 import beamspread.model.MembershipUpdate;
 import beamspread.model.Outcome;
 import beamspread.model.ServerEntry;
@@ -79,7 +79,7 @@
       list(now, first);
     }
     // Ten thousand servers by now, and fifty thousand keys.
-    Map<String, Integer> after = Retained.by(balancer);
+    Map<String, Integer> after = RetainedSizes.maxSizesByOwner(balancer);
     assertThat(after.get("OriginGuard.answeredAt")).isLessThanOrEqualTo(MEMORY);
     assertThat(after.get("MembershipFeed.servers")).isEqualTo(SERVERS);
     after.forEach(
--- a/src/test/java/beamspread/pool/PoolsTest.java
+++ b/src/test/java/beamspread/pool/PoolsTest.java
@@ -1,6 +1,6 @@
 package beamspread.pool;
 
-import static beamspread.pool.World.MS;
+import static beamspread.pool.PoolTestEnvironment.MS;
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
@@ -12,425 +12,460 @@
 import org.junit.jupiter.api.Test;
 
 class PoolsTest {
-  private static World world(int connections, int sockets, int spare, int servers) {
-    World world = new World(World.settings(connections, sockets, spare), new Random(1));
+  private static PoolTestEnvironment environment(
+      int connections, int sockets, int spare, int servers) {
+    PoolTestEnvironment environment =
+        new PoolTestEnvironment(
+            PoolTestEnvironment.settings(connections, sockets, spare), new Random(1));
     for (int i = 0; i < servers; i++) {
-      world.pools.listed(i, false, Long.MIN_VALUE);
+      environment.pools.serverListed(i, false, Long.MIN_VALUE);
     }
-    return world;
+    return environment;
   }
 
-  private static void allComeUp(World world) {
-    for (int i = 0; !world.toOpen.isEmpty(); i++) {
-      assertThat(i).as("connections tried without an end").isLessThan(1000);
-      world.comesUp(world.toOpen.get(0));
+  private static void completeAllOpenings(PoolTestEnvironment environment) {
+    for (int i = 0; !environment.openingConnections.isEmpty(); i++) {
+      assertThat(i).as("number of connection attempts").isLessThan(1000);
+      environment.completeOpening(environment.openingConnections.get(0));
     }
   }
 
   @Test
-  void freeOnesAreUsedLastUsedFirstAndTheRestFallIdle() {
-    World world = world(6, 20, 0, 1);
+  void reusesTheMostRecentlyUsedFreeConnectionAndClosesTheRestAfterTheIdleTimeout() {
+    PoolTestEnvironment environment = environment(6, 20, 0, 1);
     for (int i = 0; i < 3; i++) {
-      world.send(0, false);
+      environment.send(0, false);
     }
-    allComeUp(world);
-    assertThat(world.up()).hasSize(3);
-    List<World.Conn> all = world.up();
-    for (World.Conn conn : all) {
-      world.now += 10 * MS;
-      world.answers(conn);
+    completeAllOpenings(environment);
+    assertThat(environment.established()).hasSize(3);
+    List<PoolTestEnvironment.TestConnection> all = environment.established();
+    for (PoolTestEnvironment.TestConnection connection : all) {
+      environment.now += 10 * MS;
+      environment.answerOldest(connection);
     }
     for (int i = 0; i < 600; i++) {
-      world.now += 10 * MS;
-      World.Try one = world.send(0, false);
-      assertThat(one.on).as("the one used last").isSameAs(all.get(2));
-      world.answers(one.on);
-      world.pools.tick(world.now);
-      world.reap();
+      environment.now += 10 * MS;
+      PoolTestEnvironment.TestAttempt attempt = environment.send(0, false);
+      assertThat(attempt.connection).as("the most recently used connection").isSameAs(all.get(2));
+      environment.answerOldest(attempt.connection);
+      environment.pools.tick(environment.now);
+      environment.reapClosing();
     }
-    assertThat(world.up()).containsExactly(all.get(2));
-    assertThat(world.handshakes).isEqualTo(3);
+    assertThat(environment.established()).containsExactly(all.get(2));
+    assertThat(environment.handshakes).isEqualTo(3);
   }
 
   @Test
-  void noneThatHasOutlivedItsTimeIsWrittenToThoughNoSweepCameBy() {
-    World world = world(6, 20, 0, 1);
-    World.Try first = world.send(0, false);
-    allComeUp(world);
-    world.answers(first.on);
-    world.now += 5000 * MS;
-    World.Try second = world.send(0, false);
-    assertThat(first.on.closing).isTrue();
-    allComeUp(world);
-    assertThat(second.on).isNotNull().isNotSameAs(first.on);
+  void doesNotWriteToAnExpiredConnectionEvenWithoutASweep() {
+    PoolTestEnvironment environment = environment(6, 20, 0, 1);
+    PoolTestEnvironment.TestAttempt first = environment.send(0, false);
+    completeAllOpenings(environment);
+    environment.answerOldest(first.connection);
+    environment.now += 5000 * MS;
+    PoolTestEnvironment.TestAttempt second = environment.send(0, false);
+    assertThat(first.connection.closing).isTrue();
+    completeAllOpenings(environment);
+    assertThat(second.connection).isNotNull().isNotSameAs(first.connection);
   }
 
-  /** Sends to ten servers in turn, of which some are full; whether a free one rests that long. */
-  private static boolean keptFor(int millis, int full) {
-    World world = world(1, 30, 0, 11);
-    for (long server = 1; server <= full; server++) {
-      world.limits.put(server, 0);
+  /**
+   * Sends to ten servers in turn, some of which refuse all connections; returns whether a free
+   * connection to another server is still open after the given time.
+   */
+  private static boolean isKeptAfterMillis(int millis, int refusingServers) {
+    PoolTestEnvironment environment = environment(1, 30, 0, 11);
+    for (long server = 1; server <= refusingServers; server++) {
+      environment.connectionLimits.put(server, 0);
     }
     for (int i = 0; i < 300; i++) {
-      world.now += 10 * MS;
-      World.Try one = world.send(1 + i % 10, false);
-      allComeUp(world);
-      if (one.on != null) {
-        world.answers(one.on);
+      environment.now += 10 * MS;
+      PoolTestEnvironment.TestAttempt attempt = environment.send(1 + i % 10, false);
+      completeAllOpenings(environment);
+      if (attempt.connection != null) {
+        environment.answerOldest(attempt.connection);
       }
     }
-    World.Try rare = world.send(0, false);
-    allComeUp(world);
-    world.answers(rare.on);
-    world.now += millis * MS;
-    world.pools.tick(world.now);
-    return !rare.on.closing;
+    PoolTestEnvironment.TestAttempt rareAttempt = environment.send(0, false);
+    completeAllOpenings(environment);
+    environment.answerOldest(rareAttempt.connection);
+    environment.now += millis * MS;
+    environment.pools.tick(environment.now);
+    return !rareAttempt.connection.closing;
   }
 
   @Test
-  void whereManyAttemptsFindNoConnectionFreeOnesGiveWay() {
-    assertThat(keptFor(3000, 0)).as("nothing is scarce").isTrue();
-    assertThat(keptFor(200, 3)).as("as long as the next request may need it").isTrue();
-    assertThat(keptFor(400, 3)).as("for the others").isFalse();
+  void shortensTheIdleTimeWhenManyAttemptsAreRefused() {
+    assertThat(isKeptAfterMillis(3000, 0)).as("nothing is scarce").isTrue();
+    assertThat(isKeptAfterMillis(200, 3)).as("below the minimum idle time").isTrue();
+    assertThat(isKeptAfterMillis(400, 3)).as("closed for other nodes").isFalse();
   }
 
   @Test
-  void aLimitIsLearntAtOnceAndTriedAgainOneByOne() {
-    World world = world(6, 20, 0, 1);
-    world.limits.put(0L, 2);
-    List<World.Try> tries = new ArrayList<>();
+  void learnsAServerLimitFromOneRefusalAndProbesItOneConnectionAtATime() {
+    PoolTestEnvironment environment = environment(6, 20, 0, 1);
+    environment.connectionLimits.put(0L, 2);
+    List<PoolTestEnvironment.TestAttempt> attempts = new ArrayList<>();
     for (int i = 0; i < 6; i++) {
-      tries.add(world.send(0, false));
-      allComeUp(world);
+      attempts.add(environment.send(0, false));
+      completeAllOpenings(environment);
     }
-    assertThat(world.up()).hasSize(2);
-    assertThat(world.refused).as("one shows the limit").isEqualTo(1);
-    assertThat(tries).allMatch(one -> one.on != null);
-    // Over ten seconds under load it is tried again ever more rarely.
+    assertThat(environment.established()).hasSize(2);
+    assertThat(environment.refusedHandshakes).as("one refusal shows the limit").isEqualTo(1);
+    assertThat(attempts).allMatch(attempt -> attempt.connection != null);
+    // During ten seconds under load the limit is probed at growing intervals.
     for (int i = 0; i < 1000; i++) {
-      world.now += 10 * MS;
-      world.send(0, false);
-      allComeUp(world);
-      List.copyOf(world.up()).stream().filter(c -> c.out.size() > 1).forEach(world::answers);
+      environment.now += 10 * MS;
+      environment.send(0, false);
+      completeAllOpenings(environment);
+      List.copyOf(environment.established()).stream()
+          .filter(connection -> connection.inFlight.size() > 1)
+          .forEach(environment::answerOldest);
     }
-    assertThat(world.refused).isBetween(2, 9);
-    // The server takes more again: all of it is used in the end.
-    world.limits.put(0L, 30);
-    for (int i = 0; i < 6000 && world.up().size() < 6; i++) {
-      world.now += 10 * MS;
-      world.send(0, false);
-      allComeUp(world);
-      List.copyOf(world.up()).stream().filter(c -> c.out.size() > 1).forEach(world::answers);
+    assertThat(environment.refusedHandshakes).isBetween(2, 9);
+    // The server's limit rises: in the end all allowed connections are used.
+    environment.connectionLimits.put(0L, 30);
+    for (int i = 0; i < 6000 && environment.established().size() < 6; i++) {
+      environment.now += 10 * MS;
+      environment.send(0, false);
+      completeAllOpenings(environment);
+      List.copyOf(environment.established()).stream()
+          .filter(connection -> connection.inFlight.size() > 1)
+          .forEach(environment::answerOldest);
     }
-    assertThat(world.up()).hasSize(6);
+    assertThat(environment.established()).hasSize(6);
   }
 
   @Test
-  void nothingIsWrittenBehindAnAnswerThatComesInPartsNorDoesItCountAsSilent() {
-    World world = world(1, 20, 0, 1);
-    World.Try large = world.send(0, false);
-    allComeUp(world);
-    world.now += 10 * MS;
-    world.begins(large.on);
-    World.Try next = world.send(0, false);
-    assertThat(next.on).as("waits for one more, beyond the number").isNull();
-    allComeUp(world);
-    assertThat(next.on).isNotNull().isNotSameAs(large.on);
-    world.now += 4000 * MS;
-    world.answers(next.on);
-    world.answers(large.on);
-    assertThat(large.end).isEqualTo("answered");
-    World.Try last = world.send(0, false);
-    assertThat(last.on).as("free again").isSameAs(large.on);
+  void writesNothingBehindAStreamedAnswerAndDoesNotTreatItAsSilent() {
+    PoolTestEnvironment environment = environment(1, 20, 0, 1);
+    PoolTestEnvironment.TestAttempt large = environment.send(0, false);
+    completeAllOpenings(environment);
+    environment.now += 10 * MS;
+    environment.startStreaming(large.connection);
+    PoolTestEnvironment.TestAttempt next = environment.send(0, false);
+    assertThat(next.connection).as("waits for a connection beyond the configured number").isNull();
+    completeAllOpenings(environment);
+    assertThat(next.connection).isNotNull().isNotSameAs(large.connection);
+    environment.now += 4000 * MS;
+    environment.answerOldest(next.connection);
+    environment.answerOldest(large.connection);
+    assertThat(large.outcome).isEqualTo("answered");
+    PoolTestEnvironment.TestAttempt last = environment.send(0, false);
+    assertThat(last.connection).as("free again").isSameAs(large.connection);
   }
 
   @Test
-  void answersInPartsKeepNoConnectionFromTheOthersButTheServersLimitBoundsAll() {
-    World world = world(2, 40, 0, 1);
+  void opensExtraConnectionsWhileStreamingUpToTheServerLimit() {
+    PoolTestEnvironment environment = environment(2, 40, 0, 1);
     for (int round = 0; round < 4; round++) {
-      world.send(0, false);
-      allComeUp(world);
-      List.copyOf(world.up()).stream()
-          .filter(conn -> !conn.streams && !conn.out.isEmpty())
-          .forEach(world::begins);
+      environment.send(0, false);
+      completeAllOpenings(environment);
+      List.copyOf(environment.established()).stream()
+          .filter(connection -> !connection.streaming && !connection.inFlight.isEmpty())
+          .forEach(environment::startStreaming);
     }
-    assertThat(world.up()).as("two, two for those that wait, and two more").hasSize(4);
-    World.Try next = world.send(0, false);
-    allComeUp(world);
-    assertThat(next.on).isNotNull();
-    assertThat(next.on.streams).isFalse();
-    // The server takes five, and says so once.
-    world.limits.put(0L, 5);
-    world.begins(next.on);
-    List<World.Try> more = new ArrayList<>();
+    assertThat(environment.established())
+        .as("two streaming, and as many extra connections")
+        .hasSize(4);
+    PoolTestEnvironment.TestAttempt next = environment.send(0, false);
+    completeAllOpenings(environment);
+    assertThat(next.connection).isNotNull();
+    assertThat(next.connection.streaming).isFalse();
+    // The server's limit is five; one refusal shows it.
+    environment.connectionLimits.put(0L, 5);
+    environment.startStreaming(next.connection);
+    List<PoolTestEnvironment.TestAttempt> more = new ArrayList<>();
     for (int i = 0; i < 5; i++) {
-      world.now += 10 * MS;
-      more.add(world.send(0, false));
-      allComeUp(world);
+      environment.now += 10 * MS;
+      more.add(environment.send(0, false));
+      completeAllOpenings(environment);
     }
-    assertThat(world.up()).hasSize(5);
-    assertThat(world.refused).as("refused once, and tried again not at once").isEqualTo(1);
-    assertThat(more).as("all connections are taken").allMatch(one -> "full".equals(one.end));
+    assertThat(environment.established()).hasSize(5);
+    assertThat(environment.refusedHandshakes)
+        .as("refused once, without an immediate retry")
+        .isEqualTo(1);
+    assertThat(more)
+        .as("all connections are in use")
+        .allMatch(attempt -> "full".equals(attempt.outcome));
   }
 
   @Test
-  void aRefusedConnectionBesideAnAnswerInPartsIsNoServerThatIsDown() {
-    World world =
-        new World(
+  void reportsFullWhenAConnectionIsRefusedWhileAnotherStreams() {
+    PoolTestEnvironment environment =
+        new PoolTestEnvironment(
             new PoolSettings(1, 1, 0, 4, 8, 4, 8, 0, 1, 5000 * MS, 0, 400 * MS, 0), new Random(1));
-    world.pools.listed(0, false, Long.MIN_VALUE);
-    world.limits.put(0L, 1);
-    world.begins(firstUp(world));
-    World.Try next = world.send(0, false);
-    allComeUp(world);
-    assertThat(world.refused).isEqualTo(1);
-    assertThat(next.end).as("though no more may be open beside it").isEqualTo("full");
+    environment.pools.serverListed(0, false, Long.MIN_VALUE);
+    environment.connectionLimits.put(0L, 1);
+    environment.startStreaming(sendAndOpen(environment));
+    PoolTestEnvironment.TestAttempt next = environment.send(0, false);
+    completeAllOpenings(environment);
+    assertThat(environment.refusedHandshakes).isEqualTo(1);
+    assertThat(next.outcome).as("no further connection may be open").isEqualTo("full");
   }
 
-  private static World.Conn firstUp(World world) {
-    World.Try first = world.send(0, false);
-    allComeUp(world);
-    return first.on;
+  private static PoolTestEnvironment.TestConnection sendAndOpen(PoolTestEnvironment environment) {
+    PoolTestEnvironment.TestAttempt first = environment.send(0, false);
+    completeAllOpenings(environment);
+    return first.connection;
   }
 
   @Test
-  void oneThatAcceptsSlowlyHoldsNothingElse() {
-    World world = world(6, 20, 0, 2);
-    World.Try first = world.send(0, false);
-    allComeUp(world);
-    World.Try second = world.send(0, false);
-    assertThat(second.on).as("waits for a connection that hangs").isNull();
-    World.Try other = world.send(1, false);
-    world.comesUp(world.toOpen.get(1));
-    assertThat(other.on).isNotNull();
-    world.now += 20 * MS;
-    world.answers(first.on);
-    assertThat(second.on).as("has the one that fell free").isNotNull();
+  void aSlowHandshakeDelaysNoOtherServerOrFreeConnection() {
+    PoolTestEnvironment environment = environment(6, 20, 0, 2);
+    PoolTestEnvironment.TestAttempt first = environment.send(0, false);
+    completeAllOpenings(environment);
+    PoolTestEnvironment.TestAttempt second = environment.send(0, false);
+    assertThat(second.connection).as("waits for a slow handshake").isNull();
+    PoolTestEnvironment.TestAttempt other = environment.send(1, false);
+    environment.completeOpening(environment.openingConnections.get(1));
+    assertThat(other.connection).isNotNull();
+    environment.now += 20 * MS;
+    environment.answerOldest(first.connection);
+    assertThat(second.connection).as("uses the connection that became free").isNotNull();
   }
 
   @Test
-  void anAnswerThatIsOverdueHoldsNothingBehindIt() {
-    World world = world(2, 20, 0, 1);
-    World.Try slow = world.send(0, false);
-    allComeUp(world);
-    World.Try fast = world.send(0, false);
-    allComeUp(world);
-    world.now += 10 * MS;
-    world.answers(fast.on);
-    fast = world.send(0, false);
-    world.now += 500 * MS;
-    World.Conn suspect = slow.on;
-    // Both have waited for too long: one more is opened though the number is reached.
-    World.Try next = world.send(0, true);
-    assertThat(world.toOpen).hasSize(1);
-    allComeUp(world);
-    assertThat(next.on).isNotSameAs(suspect).isNotSameAs(fast.on);
-    World.Try one = world.send(0, false);
-    allComeUp(world);
-    World.Conn before = fast.on;
-    // No more than these: what comes now waits behind those that may still answer.
-    assertThat(world.send(0, false).on).isNotNull().isNotSameAs(suspect).isNotSameAs(before);
-    assertThat(one.on).isNotSameAs(suspect).isNotSameAs(before);
-    assertThat(world.toOpen).isEmpty();
+  void sendsNothingBehindAnOverdueAnswerWhileAnotherConnectionIsAvailable() {
+    PoolTestEnvironment environment = environment(2, 20, 0, 1);
+    PoolTestEnvironment.TestAttempt slow = environment.send(0, false);
+    completeAllOpenings(environment);
+    PoolTestEnvironment.TestAttempt fast = environment.send(0, false);
+    completeAllOpenings(environment);
+    environment.now += 10 * MS;
+    environment.answerOldest(fast.connection);
+    fast = environment.send(0, false);
+    environment.now += 500 * MS;
+    PoolTestEnvironment.TestConnection suspect = slow.connection;
+    // Both answers are overdue: one more connection is opened beyond the configured number.
+    PoolTestEnvironment.TestAttempt next = environment.send(0, true);
+    assertThat(environment.openingConnections).hasSize(1);
+    completeAllOpenings(environment);
+    assertThat(next.connection).isNotSameAs(suspect).isNotSameAs(fast.connection);
+    PoolTestEnvironment.TestAttempt attempt = environment.send(0, false);
+    completeAllOpenings(environment);
+    PoolTestEnvironment.TestConnection overdue = fast.connection;
+    // No further connection is opened: attempts now wait behind answers that are not overdue.
+    assertThat(environment.send(0, false).connection)
+        .isNotNull()
+        .isNotSameAs(suspect)
+        .isNotSameAs(overdue);
+    assertThat(attempt.connection).isNotSameAs(suspect).isNotSameAs(overdue);
+    assertThat(environment.openingConnections).isEmpty();
   }
 
   @Test
-  void readsKeepOffAConnectionWithAWriteThatMustNotBeLost() {
-    World world = world(2, 20, 0, 1);
-    World.Try write = world.send(0, true);
-    world.send(0, false);
-    allComeUp(world);
-    assertThat(write.on).isNotNull();
-    World.Try third = world.send(0, false);
-    assertThat(third.on).isNotSameAs(write.on);
+  void readsAvoidAConnectionWithAnUnrepeatableWrite() {
+    PoolTestEnvironment environment = environment(2, 20, 0, 1);
+    PoolTestEnvironment.TestAttempt write = environment.send(0, true);
+    environment.send(0, false);
+    completeAllOpenings(environment);
+    assertThat(write.connection).isNotNull();
+    PoolTestEnvironment.TestAttempt third = environment.send(0, false);
+    assertThat(third.connection).isNotSameAs(write.connection);
   }
 
   @Test
-  void whereSocketsRunShortWhoHasFewIsServedFirst() {
-    World world = world(6, 8, 0, 3);
-    List<World.Try> many = new ArrayList<>();
+  void takesSocketsFromTheServerWithTheMostConnectionsWhenNoneIsLeft() {
+    PoolTestEnvironment environment = environment(6, 8, 0, 3);
+    List<PoolTestEnvironment.TestAttempt> server1Attempts = new ArrayList<>();
     for (int i = 0; i < 6; i++) {
-      many.add(world.send(1, false));
-      allComeUp(world);
+      server1Attempts.add(environment.send(1, false));
+      completeAllOpenings(environment);
     }
-    World.Try two = world.send(0, false);
-    world.send(0, false);
-    allComeUp(world);
-    // Its own has been free longest, but it has few.
-    world.answers(two.on);
-    world.now += MS;
-    many.forEach(one -> world.answers(one.on));
-    World.Try three = world.send(2, false);
-    allComeUp(world);
-    assertThat(three.on).isNotNull();
-    assertThat(world.up().stream().filter(one -> one.server == 1)).hasSize(5);
-    assertThat(world.up().stream().filter(one -> one.server == 0)).hasSize(2);
-    assertThat(world.pools.sockets()).isEqualTo(8);
+    PoolTestEnvironment.TestAttempt server0Attempt = environment.send(0, false);
+    environment.send(0, false);
+    completeAllOpenings(environment);
+    // Its own connection has been free longest, but that server has few connections.
+    environment.answerOldest(server0Attempt.connection);
+    environment.now += MS;
+    server1Attempts.forEach(one -> environment.answerOldest(one.connection));
+    PoolTestEnvironment.TestAttempt server2Attempt = environment.send(2, false);
+    completeAllOpenings(environment);
+    assertThat(server2Attempt.connection).isNotNull();
+    assertThat(environment.established().stream().filter(one -> one.server == 1)).hasSize(5);
+    assertThat(environment.established().stream().filter(one -> one.server == 0)).hasSize(2);
+    assertThat(environment.pools.socketCount()).isEqualTo(8);
   }
 
   @Test
-  void withoutAnySocketAnAttemptIsToldAtOnce() {
-    World world = world(2, 1, 0, 2);
-    World.Try held = world.send(0, false);
-    allComeUp(world);
-    assertThat(world.send(1, false).end).isEqualTo("unreachable");
-    world.answers(held.on);
-    World.Try next = world.send(1, false);
-    allComeUp(world);
-    assertThat(next.on).isNotNull();
+  void rejectsAnAttemptAtOnceWhenNoSocketIsAvailable() {
+    PoolTestEnvironment environment = environment(2, 1, 0, 2);
+    PoolTestEnvironment.TestAttempt held = environment.send(0, false);
+    completeAllOpenings(environment);
+    assertThat(environment.send(1, false).outcome).isEqualTo("unreachable");
+    environment.answerOldest(held.connection);
+    PoolTestEnvironment.TestAttempt next = environment.send(1, false);
+    completeAllOpenings(environment);
+    assertThat(next.connection).isNotNull();
   }
 
   @Test
-  void whatWaitsForRoomAmongAllThatComeUpIsNotForgotten() {
-    World world = world(4, 40, 0, 12);
-    List<World.Try> tries = new ArrayList<>();
+  void settlesAttemptsThatWaitForTheOpeningLimit() {
+    PoolTestEnvironment environment = environment(4, 40, 0, 12);
+    List<PoolTestEnvironment.TestAttempt> attempts = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
-      tries.add(world.send(i, false));
+      attempts.add(environment.send(i, false));
     }
-    assertThat(world.toOpen).as("no more than may come up").hasSize(8);
-    while (!world.toOpen.isEmpty()) {
-      world.fails(world.toOpen.get(0), true);
+    assertThat(environment.openingConnections).as("limit on opening connections").hasSize(8);
+    while (!environment.openingConnections.isEmpty()) {
+      environment.failOpening(environment.openingConnections.get(0), true);
     }
-    assertThat(tries).allMatch(one -> "unreachable".equals(one.end));
+    assertThat(attempts).allMatch(attempt -> "unreachable".equals(attempt.outcome));
   }
 
   @Test
-  void anotherAddressOrAStartEndsWhatIsOlder() {
-    World world = world(2, 20, 0, 1);
-    World.Try first = world.send(0, false);
-    allComeUp(world);
-    world.pools.listed(0, true, Long.MIN_VALUE);
-    World.Try second = world.send(0, false);
-    assertThat(second.on).isNull();
-    allComeUp(world);
-    assertThat(second.on).isNotNull().isNotSameAs(first.on);
-    world.answers(first.on);
-    assertThat(first.on.closing).isTrue();
-    World.Conn before = second.on;
-    world.answers(before);
-    world.now += 1000 * MS;
-    world.pools.listed(0, false, world.now - 10 * MS);
-    assertThat(before.closing).as("older than the process").isTrue();
-    // One that comes up late, of an address that was left meanwhile, is not used.
-    World.Try third = world.send(0, false);
-    World.Conn late = world.toOpen.get(0);
-    world.pools.listed(0, true, Long.MIN_VALUE);
-    world.comesUp(late);
+  void retiresConnectionsFromBeforeAnAddressChangeOrServerStart() {
+    PoolTestEnvironment environment = environment(2, 20, 0, 1);
+    PoolTestEnvironment.TestAttempt first = environment.send(0, false);
+    completeAllOpenings(environment);
+    environment.pools.serverListed(0, true, Long.MIN_VALUE);
+    PoolTestEnvironment.TestAttempt second = environment.send(0, false);
+    assertThat(second.connection).isNull();
+    completeAllOpenings(environment);
+    assertThat(second.connection).isNotNull().isNotSameAs(first.connection);
+    environment.answerOldest(first.connection);
+    assertThat(first.connection.closing).isTrue();
+    PoolTestEnvironment.TestConnection before = second.connection;
+    environment.answerOldest(before);
+    environment.now += 1000 * MS;
+    environment.pools.serverListed(0, false, environment.now - 10 * MS);
+    assertThat(before.closing).as("opened before the server process started").isTrue();
+    // A connection that opens after its address was replaced is not used.
+    PoolTestEnvironment.TestAttempt third = environment.send(0, false);
+    PoolTestEnvironment.TestConnection late = environment.openingConnections.get(0);
+    environment.pools.serverListed(0, true, Long.MIN_VALUE);
+    environment.completeOpening(late);
     assertThat(late.closing).isTrue();
-    world.reap();
-    allComeUp(world);
-    assertThat(third.on).isNotNull();
+    environment.reapClosing();
+    completeAllOpenings(environment);
+    assertThat(third.connection).isNotNull();
   }
 
   @Test
-  void spareOnesAreKeptReadyButNotAtAColdServerNorPastTheLimit() {
-    World world = world(4, 20, 1, 2);
-    World.Try first = world.send(0, false);
-    assertThat(world.toOpen).hasSize(2);
-    allComeUp(world);
-    World.Try second = world.send(0, false);
-    assertThat(second.on).as("at once").isNotNull().isNotSameAs(first.on);
+  void keepsSpareConnectionsExceptAtAColdServerOrBeyondTheLimit() {
+    PoolTestEnvironment environment = environment(4, 20, 1, 2);
+    PoolTestEnvironment.TestAttempt first = environment.send(0, false);
+    assertThat(environment.openingConnections).hasSize(2);
+    completeAllOpenings(environment);
+    PoolTestEnvironment.TestAttempt second = environment.send(0, false);
+    assertThat(second.connection)
+        .as("written at once to the spare connection")
+        .isNotNull()
+        .isNotSameAs(first.connection);
     for (int i = 0; i < 6; i++) {
-      allComeUp(world);
-      world.send(0, false);
+      completeAllOpenings(environment);
+      environment.send(0, false);
     }
-    assertThat(world.up(0)).isEqualTo(4);
-    world.pools.listed(1, false, world.now - 100 * MS);
-    world.send(1, false);
-    assertThat(world.toOpen).as("cold: one for the attempt, none ahead").hasSize(1);
+    assertThat(environment.established(0)).isEqualTo(4);
+    environment.pools.serverListed(1, false, environment.now - 100 * MS);
+    environment.send(1, false);
+    assertThat(environment.openingConnections).as("cold: one for the attempt, no spare").hasSize(1);
   }
 
   @Test
-  void busyAsAConnectionsFirstAnswerIsAShutDoor() {
-    World world = world(4, 40, 0, 2);
-    World.Try first = world.send(0, false);
-    allComeUp(world);
-    World.Try second = world.send(0, false);
-    allComeUp(world);
-    assertThat(second.on).isNotSameAs(first.on);
-    world.answers(first.on);
-    world.turnsAway(second.on);
-    world.reap();
-    assertThat(world.up()).as("it would hear nothing else there").containsExactly(first.on);
-    World.Try third = world.send(0, false);
-    World.Try fourth = world.send(0, false);
-    allComeUp(world);
-    assertThat(third.on).isSameAs(first.on);
-    assertThat(fourth.on).as("not at once one more beyond the limit").isSameAs(first.on);
-    // Later it may be busy with work: the connection is as good as ever.
-    world.turnsAway(first.on);
-    world.reap();
-    assertThat(world.up()).containsExactly(first.on);
+  void treatsBusyAsARefusalOnlyAsTheFirstAnswerOfAConnection() {
+    PoolTestEnvironment environment = environment(4, 40, 0, 2);
+    PoolTestEnvironment.TestAttempt first = environment.send(0, false);
+    completeAllOpenings(environment);
+    PoolTestEnvironment.TestAttempt second = environment.send(0, false);
+    completeAllOpenings(environment);
+    assertThat(second.connection).isNotSameAs(first.connection);
+    environment.answerOldest(first.connection);
+    environment.answerBusy(second.connection);
+    environment.reapClosing();
+    assertThat(environment.established())
+        .as("the refused connection is closed")
+        .containsExactly(first.connection);
+    PoolTestEnvironment.TestAttempt third = environment.send(0, false);
+    PoolTestEnvironment.TestAttempt fourth = environment.send(0, false);
+    completeAllOpenings(environment);
+    assertThat(third.connection).isSameAs(first.connection);
+    assertThat(fourth.connection)
+        .as("no immediate connection beyond the limit")
+        .isSameAs(first.connection);
+    // Later the server may be busy with work: the connection remains usable.
+    environment.answerBusy(first.connection);
+    environment.reapClosing();
+    assertThat(environment.established()).containsExactly(first.connection);
   }
 
   @Test
-  void whereDoorsAreShutFreeConnectionsGoRound() {
-    World world = world(1, 40, 0, 2);
-    World.Try kept = world.send(1, false);
-    allComeUp(world);
-    world.answers(kept.on);
+  void closesFreeConnectionsEarlyWhenServersRefuse() {
+    PoolTestEnvironment environment = environment(1, 40, 0, 2);
+    PoolTestEnvironment.TestAttempt kept = environment.send(1, false);
+    completeAllOpenings(environment);
+    environment.answerOldest(kept.connection);
     for (int i = 0; i < 20; i++) {
-      World.Try shut = world.send(0, false);
-      allComeUp(world);
-      world.turnsAway(shut.on);
-      world.reap();
+      PoolTestEnvironment.TestAttempt refusedAttempt = environment.send(0, false);
+      completeAllOpenings(environment);
+      environment.answerBusy(refusedAttempt.connection);
+      environment.reapClosing();
     }
-    world.now += 200 * MS;
-    world.pools.tick(world.now);
-    world.reap();
-    assertThat(world.up()).containsExactly(kept.on);
-    world.now += 200 * MS;
-    world.pools.tick(world.now);
-    world.reap();
-    assertThat(world.up()).as("five seconds, were there room for all").isEmpty();
+    environment.now += 200 * MS;
+    environment.pools.tick(environment.now);
+    environment.reapClosing();
+    assertThat(environment.established()).containsExactly(kept.connection);
+    environment.now += 200 * MS;
+    environment.pools.tick(environment.now);
+    environment.reapClosing();
+    assertThat(environment.established())
+        .as("closed before the idle timeout of five seconds")
+        .isEmpty();
   }
 
   @Test
-  void manyNodesKeepTheirPartOfFreeConnectionsAndThoseInUseLongestAgoEnd() {
-    World world = new World(World.settings(2, 40, 0, 0.3), new Random(1));
+  void keepsOnlyTheNodesShareOfFreeConnectionsByRecentUse() {
+    PoolTestEnvironment environment =
+        new PoolTestEnvironment(PoolTestEnvironment.settings(2, 40, 0, 0.3), new Random(1));
     for (int server = 0; server < 10; server++) {
-      world.pools.listed(server, false, Long.MIN_VALUE);
+      environment.pools.serverListed(server, false, Long.MIN_VALUE);
     }
-    List<World.Try> all = new ArrayList<>();
+    List<PoolTestEnvironment.TestAttempt> all = new ArrayList<>();
     for (int server = 0; server < 10; server++) {
-      all.add(world.send(server, false));
-      allComeUp(world);
+      all.add(environment.send(server, false));
+      completeAllOpenings(environment);
     }
-    assertThat(world.up()).as("what is under way is none of them").hasSize(10);
-    for (World.Try one : all) {
-      world.now += 20 * MS;
-      world.answers(one.on);
+    assertThat(environment.established()).as("connections in use do not count as free").hasSize(10);
+    for (PoolTestEnvironment.TestAttempt attempt : all) {
+      environment.now += 20 * MS;
+      environment.answerOldest(attempt.connection);
     }
-    world.pools.tick(world.now);
-    world.reap();
-    assertThat(world.up()).extracting(conn -> conn.server).containsExactlyInAnyOrder(7L, 8L, 9L);
-    // One that is free is used, and one more makes room for itself.
-    World.Try known = world.send(7, false);
-    assertThat(known.on).isSameAs(all.get(7).on);
-    world.answers(known.on);
-    world.now += 20 * MS;
-    World.Try other = world.send(1, false);
-    world.reap();
-    allComeUp(world);
-    assertThat(other.on).isNotNull();
-    assertThat(world.up()).extracting(conn -> conn.server).containsExactlyInAnyOrder(7L, 9L, 1L);
-    // A list that shrinks leaves less to keep, one connection at the least.
-    world.answers(other.on);
+    environment.pools.tick(environment.now);
+    environment.reapClosing();
+    assertThat(environment.established())
+        .extracting(connection -> connection.server)
+        .containsExactlyInAnyOrder(7L, 8L, 9L);
+    // A free connection is reused, and a new one replaces the least recently used free one.
+    PoolTestEnvironment.TestAttempt knownAttempt = environment.send(7, false);
+    assertThat(knownAttempt.connection).isSameAs(all.get(7).connection);
+    environment.answerOldest(knownAttempt.connection);
+    environment.now += 20 * MS;
+    PoolTestEnvironment.TestAttempt otherAttempt = environment.send(1, false);
+    environment.reapClosing();
+    completeAllOpenings(environment);
+    assertThat(otherAttempt.connection).isNotNull();
+    assertThat(environment.established())
+        .extracting(connection -> connection.server)
+        .containsExactlyInAnyOrder(7L, 9L, 1L);
+    // A shorter list leaves fewer free connections to keep, at least one.
+    environment.answerOldest(otherAttempt.connection);
     for (int server = 2; server < 10; server++) {
       if (server != 7) {
-        world.pools.left(server);
+        environment.pools.serverLeft(server);
       }
     }
-    world.pools.tick(world.now);
-    world.reap();
-    assertThat(world.up()).extracting(conn -> conn.server).containsExactly(1L);
+    environment.pools.tick(environment.now);
+    environment.reapClosing();
+    assertThat(environment.established())
+        .extracting(connection -> connection.server)
+        .containsExactly(1L);
   }
 
   @Test
-  void settingsAreCheckedWholeAndTheLastGoodOnesStay() {
-    World world = world(4, 20, 0, 1);
+  void rejectsInvalidSettingsAndKeepsThePreviousOnes() {
+    PoolTestEnvironment environment = environment(4, 20, 0, 1);
     PoolSettings bad = new PoolSettings(0, -1, -1, 4, 0, 1, 1, 0, 0, 1, 0, 1, 0);
-    assertThat(bad.faults())
+    assertThat(bad.validationErrors())
         .containsExactly(
             "connections must be at least 1",
             "leaving must not be negative",
@@ -438,143 +473,167 @@
             "sockets must be at least 1",
             "spare must be under connections, which is 0",
             "free_each must be above 0");
-    assertThatThrownBy(() -> world.pools.use(bad)).hasMessageContaining("sockets");
+    assertThatThrownBy(() -> environment.pools.applySettings(bad)).hasMessageContaining("sockets");
     for (int i = 0; i < 4; i++) {
-      world.send(0, false);
-      allComeUp(world);
+      environment.send(0, false);
+      completeAllOpenings(environment);
     }
-    assertThat(world.up()).hasSize(4);
-    world.pools.use(World.settings(1, 20, 0, 4));
-    List.copyOf(world.up()).forEach(world::answers);
-    world.pools.tick(world.now);
-    world.reap();
-    assertThat(world.up()).hasSize(3);
+    assertThat(environment.established()).hasSize(4);
+    environment.pools.applySettings(PoolTestEnvironment.settings(1, 20, 0, 4));
+    List.copyOf(environment.established()).forEach(environment::answerOldest);
+    environment.pools.tick(environment.now);
+    environment.reapClosing();
+    assertThat(environment.established()).hasSize(3);
   }
 
-  /** Long random orders of all that can happen; {@link World} checks each decision. */
+  /** Runs long random sequences of all events; {@link PoolTestEnvironment} checks each action. */
   @Property(tries = 300, seed = "20261201")
-  void noOrderOfEventsBreaksWhatMustHold(@ForAll long seed) {
+  void invariantsHoldForRandomEventOrders(@ForAll long seed) {
     Random random = new Random(seed);
-    World world =
-        new World(World.settings(1 + random.nextInt(6), 3 + random.nextInt(12), 0), random);
+    PoolTestEnvironment environment =
+        new PoolTestEnvironment(
+            PoolTestEnvironment.settings(1 + random.nextInt(6), 3 + random.nextInt(12), 0), random);
     int servers = 1 + random.nextInt(4);
     for (int i = 0; i < servers; i++) {
-      world.pools.listed(i, false, Long.MIN_VALUE);
-      world.limits.put((long) i, 1 + random.nextInt(6));
+      environment.pools.serverListed(i, false, Long.MIN_VALUE);
+      environment.connectionLimits.put((long) i, 1 + random.nextInt(6));
     }
-    List<World.Try> all = new ArrayList<>();
+    List<PoolTestEnvironment.TestAttempt> all = new ArrayList<>();
     for (int step = 0; step < 600; step++) {
-      world.now += random.nextInt(40) * MS;
-      List<World.Conn> busy = world.up().stream().filter(c -> !c.out.isEmpty()).toList();
+      environment.now += random.nextInt(40) * MS;
+      List<PoolTestEnvironment.TestConnection> busy =
+          environment.established().stream()
+              .filter(connection -> !connection.inFlight.isEmpty())
+              .toList();
       long server = random.nextInt(servers);
       switch (random.nextInt(14)) {
-        case 0, 1, 2, 3 -> all.add(world.send(server, random.nextInt(4) == 0));
+        case 0, 1, 2, 3 -> all.add(environment.send(server, random.nextInt(4) == 0));
         case 4, 5 -> {
-          if (!world.toOpen.isEmpty()) {
-            world.comesUp(world.toOpen.get(random.nextInt(world.toOpen.size())));
+          if (!environment.openingConnections.isEmpty()) {
+            environment.completeOpening(
+                environment.openingConnections.get(
+                    random.nextInt(environment.openingConnections.size())));
           }
         }
         case 6, 7, 8 -> {
           if (!busy.isEmpty()) {
-            World.Conn conn = busy.get(random.nextInt(busy.size()));
-            if (random.nextInt(4) == 0 && !conn.streams && !conn.out.peek().abandoned) {
-              world.begins(conn);
+            PoolTestEnvironment.TestConnection connection = busy.get(random.nextInt(busy.size()));
+            if (random.nextInt(4) == 0
+                && !connection.streaming
+                && !connection.inFlight.peek().abandoned) {
+              environment.startStreaming(connection);
             } else {
-              world.answers(conn);
+              environment.answerOldest(connection);
             }
           }
         }
         case 9 -> {
-          if (!world.open.isEmpty()) {
-            List<World.Try> open = List.copyOf(world.open);
-            World.Try one = open.get(random.nextInt(open.size()));
-            // One whose answer has begun no longer has a time limit.
-            if (one.on == null || !one.on.streams || one.on.out.peek() != one) {
-              world.timesOut(one);
+          if (!environment.openAttempts.isEmpty()) {
+            List<PoolTestEnvironment.TestAttempt> open = List.copyOf(environment.openAttempts);
+            PoolTestEnvironment.TestAttempt attempt = open.get(random.nextInt(open.size()));
+            // An attempt whose answer has begun no longer has a time limit.
+            if (attempt.connection == null
+                || !attempt.connection.streaming
+                || attempt.connection.inFlight.peek() != attempt) {
+              environment.timeOut(attempt);
             }
           }
         }
         case 10 -> {
-          if (!world.up().isEmpty()) {
-            world.breaks(world.up().get(random.nextInt(world.up().size())));
+          if (!environment.established().isEmpty()) {
+            environment.breakConnection(
+                environment.established().get(random.nextInt(environment.established().size())));
           }
         }
         case 11 -> {
-          if (!world.toOpen.isEmpty()) {
-            world.fails(world.toOpen.get(0), random.nextBoolean());
+          if (!environment.openingConnections.isEmpty()) {
+            environment.failOpening(environment.openingConnections.get(0), random.nextBoolean());
           }
         }
         case 12 -> {
-          world.pools.tick(world.now);
-          world.reap();
+          environment.pools.tick(environment.now);
+          environment.reapClosing();
         }
         default -> {
           switch (random.nextInt(4)) {
-            case 0 -> world.pools.listed(server, true, Long.MIN_VALUE);
-            case 1 -> world.pools.listed(server, false, world.now - 5 * MS);
-            case 2 -> world.limits.put(server, 1 + random.nextInt(6));
+            case 0 -> environment.pools.serverListed(server, true, Long.MIN_VALUE);
+            case 1 -> environment.pools.serverListed(server, false, environment.now - 5 * MS);
+            case 2 -> environment.connectionLimits.put(server, 1 + random.nextInt(6));
             default -> {
-              world.pools.left(server);
-              world.pools.listed(server, false, Long.MIN_VALUE);
+              environment.pools.serverLeft(server);
+              environment.pools.serverListed(server, false, Long.MIN_VALUE);
             }
           }
         }
       }
-      assertThat(world.pools.sockets())
-          .isEqualTo((int) world.conns.values().stream().filter(c -> !c.closing).count());
+      assertThat(environment.pools.socketCount())
+          .isEqualTo(
+              (int)
+                  environment.connections.values().stream()
+                      .filter(connection -> !connection.closing)
+                      .count());
     }
-    // Once all that is out is told, every attempt has its end and every socket is given back.
-    for (int i = 0; i < 100 && !(world.open.isEmpty() && world.toOpen.isEmpty()); i++) {
-      world.now += 10 * MS;
-      List.copyOf(world.open)
+    // After all pending events, every attempt has settled and every socket is released.
+    for (int i = 0;
+        i < 100
+            && !(environment.openAttempts.isEmpty() && environment.openingConnections.isEmpty());
+        i++) {
+      environment.now += 10 * MS;
+      List.copyOf(environment.openAttempts)
           .forEach(
-              one -> {
-                if (one.end == null) {
-                  world.timesOut(one);
+              attempt -> {
+                if (attempt.outcome == null) {
+                  environment.timeOut(attempt);
                 }
               });
-      while (!world.toOpen.isEmpty()) {
-        world.fails(world.toOpen.get(0), false);
+      while (!environment.openingConnections.isEmpty()) {
+        environment.failOpening(environment.openingConnections.get(0), false);
       }
-      world.reap();
+      environment.reapClosing();
     }
-    List.copyOf(world.conns.values()).forEach(world::breaks);
-    while (!world.toOpen.isEmpty()) {
-      world.fails(world.toOpen.get(0), false);
+    List.copyOf(environment.connections.values()).forEach(environment::breakConnection);
+    while (!environment.openingConnections.isEmpty()) {
+      environment.failOpening(environment.openingConnections.get(0), false);
     }
-    assertThat(all).allMatch(one -> one.end != null, "has an end");
-    assertThat(world.pools.sockets()).isZero();
+    assertThat(all).allMatch(attempt -> attempt.outcome != null, "has settled");
+    assertThat(environment.pools.socketCount()).isZero();
   }
 
-  /** From idle to full load: no server is asked for more than once beyond a limit it has shown. */
+  /**
+   * From idle to full load, each server is asked for at most one connection beyond a limit that it
+   * has shown.
+   */
   @Property(tries = 100, seed = "20261202")
-  void aSurgeStaysWithinTheLimits(@ForAll long seed) {
+  void aLoadSurgeStaysWithinTheServerLimits(@ForAll long seed) {
     Random random = new Random(seed);
-    World world = new World(World.settings(6, 40, 0), random);
+    PoolTestEnvironment environment =
+        new PoolTestEnvironment(PoolTestEnvironment.settings(6, 40, 0), random);
     for (int i = 0; i < 6; i++) {
-      world.pools.listed(i, false, Long.MIN_VALUE);
-      world.limits.put((long) i, 2 + random.nextInt(4));
+      environment.pools.serverListed(i, false, Long.MIN_VALUE);
+      environment.connectionLimits.put((long) i, 2 + random.nextInt(4));
     }
     for (int i = 0; i < 400; i++) {
-      world.now += MS / 4;
-      world.send(random.nextInt(6), random.nextInt(10) == 0);
-      if (random.nextInt(3) == 0 && !world.toOpen.isEmpty()) {
-        world.comesUp(world.toOpen.get(0));
+      environment.now += MS / 4;
+      environment.send(random.nextInt(6), random.nextInt(10) == 0);
+      if (random.nextInt(3) == 0 && !environment.openingConnections.isEmpty()) {
+        environment.completeOpening(environment.openingConnections.get(0));
       }
-      for (World.Conn conn : List.copyOf(world.up())) {
-        if (!conn.out.isEmpty() && random.nextInt(8) == 0) {
-          world.answers(conn);
+      for (PoolTestEnvironment.TestConnection connection : List.copyOf(environment.established())) {
+        if (!connection.inFlight.isEmpty() && random.nextInt(8) == 0) {
+          environment.answerOldest(connection);
         }
       }
     }
-    while (!world.toOpen.isEmpty()) {
-      world.comesUp(world.toOpen.get(0));
+    while (!environment.openingConnections.isEmpty()) {
+      environment.completeOpening(environment.openingConnections.get(0));
     }
     for (long server = 0; server < 6; server++) {
-      assertThat(world.up(server)).isLessThanOrEqualTo(world.limits.get(server));
+      assertThat(environment.established(server))
+          .isLessThanOrEqualTo(environment.connectionLimits.get(server));
     }
-    // Those that were under way together when the limit showed, and a try again in 0.1 s.
-    assertThat(world.refused).isLessThanOrEqualTo(6 * (world.settings.openingEach() + 1));
-    assertThat(world.mostSockets).isLessThanOrEqualTo(40);
+    // Connections that were opening together when the limit showed, plus one probe after 0.1 s.
+    assertThat(environment.refusedHandshakes)
+        .isLessThanOrEqualTo(6 * (environment.settings.openingPerServer() + 1));
+    assertThat(environment.maxSocketsSeen).isLessThanOrEqualTo(40);
   }
 }
--- a/src/test/java/beamspread/relay/RelaysTest.java
+++ b/src/test/java/beamspread/relay/RelaysTest.java
@@ -12,302 +12,314 @@
 
 class RelaysTest {
   private static final long MS = 1_000_000L;
-  private static final int READ = 1000;
+  private static final int READ_BYTES = 1000;
   private static final RelaySettings SETTINGS =
-      new RelaySettings(4 * READ, 10 * READ, 2 * READ, 100 * MS, 80 * MS, 3 * READ);
+      new RelaySettings(
+          4 * READ_BYTES, 10 * READ_BYTES, 2 * READ_BYTES, 100 * MS, 80 * MS, 3 * READ_BYTES);
 
-  /** Both sides of one value, checked at each step. */
-  private static final class Sides implements RelayActions {
+  /** The server and the client of one value; checks each action. */
+  private static final class Endpoints implements RelayActions {
     Relay relay;
-    int owed;
-    int waits;
-    boolean reads = true;
+    int bytesToSend;
+    int undelivered;
+    boolean reading = true;
     boolean shared;
-    boolean closed;
-    boolean cut;
-    Boolean over;
+    boolean serverClosed;
+    boolean clientCut;
+    Boolean endedComplete;
 
-    Sides(Relays relays, long now, int length) {
-      owed = length;
+    Endpoints(Relays relays, long now, int length) {
+      bytesToSend = length;
       relay = relays.begin(now, length, this);
     }
 
-    void comes(long now, int bytes) {
-      owed -= bytes;
-      if (relay.came(now, bytes)) {
-        waits += bytes;
+    void sendFromServer(long now, int bytes) {
+      bytesToSend -= bytes;
+      if (relay.received(now, bytes)) {
+        undelivered += bytes;
       }
-      if (owed == 0) {
-        reads = true;
-        relay.whole(now);
+      if (bytesToSend == 0) {
+        reading = true;
+        relay.completed(now);
       }
     }
 
-    void takes(long now, int bytes) {
-      waits -= bytes;
-      relay.taken(now, bytes);
+    void deliverToClient(long now, int bytes) {
+      undelivered -= bytes;
+      relay.delivered(now, bytes);
     }
 
     @Override
-    public void reading(boolean on) {
-      assertThat(on).as("told what it is").isNotEqualTo(reads);
-      assertThat(closed).isFalse();
-      reads = on;
+    public void setReading(boolean enabled) {
+      assertThat(enabled).as("reading state changes").isNotEqualTo(reading);
+      assertThat(serverClosed).isFalse();
+      reading = enabled;
     }
 
     @Override
-    public void closeServer() {
-      assertThat(closed).as("closed once").isFalse();
-      assertThat(owed).as("closed within its value").isPositive();
-      closed = true;
+    public void closeServerConnection() {
+      assertThat(serverClosed).as("closed once").isFalse();
+      assertThat(bytesToSend).as("bytes missing when the server is closed").isPositive();
+      serverClosed = true;
     }
 
     @Override
-    public void cut() {
-      assertThat(cut).as("cut once").isFalse();
-      assertThat(over).isNull();
-      cut = true;
+    public void cutClient() {
+      assertThat(clientCut).as("cut once").isFalse();
+      assertThat(endedComplete).isNull();
+      clientCut = true;
     }
 
     @Override
-    public boolean shared() {
+    public boolean isShared() {
       return shared;
     }
 
     @Override
-    public void over(boolean whole) {
-      assertThat(over).as("over once").isNull();
-      assertThat(cut && whole).isFalse();
-      over = whole;
+    public void ended(boolean complete) {
+      assertThat(endedComplete).as("over once").isNull();
+      assertThat(clientCut && complete).isFalse();
+      endedComplete = complete;
     }
   }
 
   @Test
-  void aValueGoesThroughAndItsReadingFollowsItsClient() {
+  void relaysAValueAndPausesReadingWhileTheClientIsBehind() {
     Relays relays = new Relays(SETTINGS);
-    Sides one = new Sides(relays, 0, 8 * READ);
-    one.relay.turn(0);
+    Endpoints endpoints = new Endpoints(relays, 0, 8 * READ_BYTES);
+    endpoints.relay.clientReady(0);
     for (int i = 0; i < 4; i++) {
-      assertThat(one.reads).isTrue();
-      one.comes(i, READ);
+      assertThat(endpoints.reading).isTrue();
+      endpoints.sendFromServer(i, READ_BYTES);
     }
-    assertThat(one.reads).as("four reads are held").isFalse();
-    one.takes(5, READ);
-    assertThat(one.reads).as("more than half is").isFalse();
-    one.takes(6, READ);
-    assertThat(one.reads).isTrue();
-    one.comes(7, READ);
-    one.takes(8, 3 * READ);
-    one.comes(9, 3 * READ);
-    assertThat(one.over).as("not taken yet").isNull();
-    one.takes(10, 3 * READ);
-    assertThat(one.over).isTrue();
-    assertThat(relays.held()).isZero();
-    assertThat(relays.open()).isZero();
-    assertThat(relays.passed()).isEqualTo(1);
+    assertThat(endpoints.reading).as("four reads are held").isFalse();
+    endpoints.deliverToClient(5, READ_BYTES);
+    assertThat(endpoints.reading).as("more than half is still held").isFalse();
+    endpoints.deliverToClient(6, READ_BYTES);
+    assertThat(endpoints.reading).isTrue();
+    endpoints.sendFromServer(7, READ_BYTES);
+    endpoints.deliverToClient(8, 3 * READ_BYTES);
+    endpoints.sendFromServer(9, 3 * READ_BYTES);
+    assertThat(endpoints.endedComplete).as("not yet read by the client").isNull();
+    endpoints.deliverToClient(10, 3 * READ_BYTES);
+    assertThat(endpoints.endedComplete).isTrue();
+    assertThat(relays.heldBytes()).isZero();
+    assertThat(relays.openCount()).isZero();
+    assertThat(relays.completedCount()).isEqualTo(1);
   }
 
   @Test
-  void beyondTheCommonMemoryEachComesOnByOneReadAtATime() {
+  void readsOnlyEmptyRelaysWhenTheSharedMemoryIsFull() {
     Relays relays = new Relays(SETTINGS);
-    List<Sides> all = new ArrayList<>();
+    List<Endpoints> all = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
-      Sides one = new Sides(relays, 0, 20 * READ);
-      one.relay.turn(0);
-      one.comes(0, READ);
-      all.add(one);
+      Endpoints endpoints = new Endpoints(relays, 0, 20 * READ_BYTES);
+      endpoints.relay.clientReady(0);
+      endpoints.sendFromServer(0, READ_BYTES);
+      all.add(endpoints);
     }
-    assertThat(relays.held()).isEqualTo(12 * READ);
-    assertThat(all.get(8).reads).isTrue();
-    assertThat(all.get(9).reads).as("the tenth fills the memory").isFalse();
-    Sides last = all.get(11);
-    last.takes(1, READ);
-    assertThat(last.reads).as("nothing of it is held").isTrue();
-    last.comes(2, READ);
-    assertThat(last.reads).isFalse();
-    all.get(0).takes(3, READ);
-    all.get(1).takes(4, READ);
-    all.get(2).takes(5, READ);
-    assertThat(all.get(9).reads).as("longest stopped, and room again").isTrue();
+    assertThat(relays.heldBytes()).isEqualTo(12 * READ_BYTES);
+    assertThat(all.get(8).reading).isTrue();
+    assertThat(all.get(9).reading).as("the tenth fills the memory").isFalse();
+    Endpoints last = all.get(11);
+    last.deliverToClient(1, READ_BYTES);
+    assertThat(last.reading).as("resumes with nothing held").isTrue();
+    last.sendFromServer(2, READ_BYTES);
+    assertThat(last.reading).isFalse();
+    all.get(0).deliverToClient(3, READ_BYTES);
+    all.get(1).deliverToClient(4, READ_BYTES);
+    all.get(2).deliverToClient(5, READ_BYTES);
+    assertThat(all.get(9).reading).as("paused longest, and memory is free again").isTrue();
   }
 
   @Test
-  void aServerThatBreaksOffLeavesTheClientWhatCameAndThenCutsIt() {
+  void deliversReceivedBytesBeforeCuttingTheClientWhenTheServerAborts() {
     Relays relays = new Relays(SETTINGS);
-    Sides one = new Sides(relays, 0, 8 * READ);
-    one.relay.turn(0);
-    one.comes(0, READ);
-    one.relay.broken();
-    assertThat(one.cut).as("the client takes what there is").isFalse();
-    one.takes(1, READ);
-    assertThat(one.cut).isTrue();
-    assertThat(one.over).isFalse();
-    assertThat(relays.brokenByServers()).isEqualTo(1);
+    Endpoints endpoints = new Endpoints(relays, 0, 8 * READ_BYTES);
+    endpoints.relay.clientReady(0);
+    endpoints.sendFromServer(0, READ_BYTES);
+    endpoints.relay.aborted();
+    assertThat(endpoints.clientCut).as("the client first reads what is held").isFalse();
+    endpoints.deliverToClient(1, READ_BYTES);
+    assertThat(endpoints.clientCut).isTrue();
+    assertThat(endpoints.endedComplete).isFalse();
+    assertThat(relays.abortedByServers()).isEqualTo(1);
   }
 
   @Test
-  void aServerThatBreaksOffBeforeTheAnswersTurnIsToldInALine() {
+  void cutsAtOnceWhenTheServerAbortsBeforeTheClientIsReady() {
     Relays relays = new Relays(SETTINGS);
-    Sides one = new Sides(relays, 0, 8 * READ);
-    one.comes(0, READ);
-    one.relay.broken();
-    assertThat(one.cut).isTrue();
-    assertThat(relays.held()).isZero();
+    Endpoints endpoints = new Endpoints(relays, 0, 8 * READ_BYTES);
+    endpoints.sendFromServer(0, READ_BYTES);
+    endpoints.relay.aborted();
+    assertThat(endpoints.clientCut).isTrue();
+    assertThat(relays.heldBytes()).isZero();
   }
 
   @Test
-  void aSilentServerIsGivenUpButNotOneWhoseReadingHasStopped() {
+  void closesASilentServerUnlessItsReadingIsPaused() {
     Relays relays = new Relays(SETTINGS);
-    Sides silent = new Sides(relays, 0, 8 * READ);
-    Sides held = new Sides(relays, 0, 8 * READ);
-    silent.relay.turn(0);
-    silent.comes(0, READ);
-    silent.takes(0, READ);
-    held.comes(0, 4 * READ);
+    Endpoints silent = new Endpoints(relays, 0, 8 * READ_BYTES);
+    Endpoints held = new Endpoints(relays, 0, 8 * READ_BYTES);
+    silent.relay.clientReady(0);
+    silent.sendFromServer(0, READ_BYTES);
+    silent.deliverToClient(0, READ_BYTES);
+    held.sendFromServer(0, 4 * READ_BYTES);
     relays.tick(80 * MS);
-    assertThat(silent.closed).isFalse();
+    assertThat(silent.serverClosed).isFalse();
     relays.tick(81 * MS);
-    assertThat(silent.closed).isTrue();
-    assertThat(silent.cut).isTrue();
-    // Its turn has not come: neither its server nor its client is at fault.
+    assertThat(silent.serverClosed).isTrue();
+    assertThat(silent.clientCut).isTrue();
+    // The client is not ready for it yet: neither its server nor its client is at fault.
     relays.tick(1000 * MS);
-    assertThat(held.closed).isFalse();
-    assertThat(held.over).isNull();
-    held.relay.turn(1000 * MS);
-    held.takes(1000 * MS, 4 * READ);
+    assertThat(held.serverClosed).isFalse();
+    assertThat(held.endedComplete).isNull();
+    held.relay.clientReady(1000 * MS);
+    held.deliverToClient(1000 * MS, 4 * READ_BYTES);
     relays.tick(1080 * MS);
-    assertThat(held.closed).as("its silence counts from when it was read again").isFalse();
+    assertThat(held.serverClosed).as("silence is measured from the resumed reading").isFalse();
     relays.tick(1081 * MS);
-    assertThat(held.closed).isTrue();
+    assertThat(held.serverClosed).isTrue();
   }
 
   @Test
-  void aClientMustTakeSoMuchInATimeThoughItNeverQuiteStops() {
+  void cutsAClientThatStaysBelowTheMinimumPace() {
     Relays relays = new Relays(SETTINGS);
-    Sides fair = new Sides(relays, 0, 50 * READ);
-    Sides slow = new Sides(relays, 0, 50 * READ);
-    for (Sides one : List.of(fair, slow)) {
-      one.relay.turn(0);
-      one.comes(0, 4 * READ);
+    Endpoints fair = new Endpoints(relays, 0, 50 * READ_BYTES);
+    Endpoints slow = new Endpoints(relays, 0, 50 * READ_BYTES);
+    for (Endpoints endpoints : List.of(fair, slow)) {
+      endpoints.relay.clientReady(0);
+      endpoints.sendFromServer(0, 4 * READ_BYTES);
     }
     for (int ms = 10; ms <= 200; ms += 10) {
-      if (!slow.cut) {
-        slow.takes(ms * MS, 1);
+      if (!slow.clientCut) {
+        slow.deliverToClient(ms * MS, 1);
       }
-      fair.takes(ms * MS, READ / 4);
-      if (fair.reads) {
-        fair.comes(ms * MS, READ);
+      fair.deliverToClient(ms * MS, READ_BYTES / 4);
+      if (fair.reading) {
+        fair.sendFromServer(ms * MS, READ_BYTES);
       }
       relays.tick(ms * MS);
     }
-    assertThat(slow.cut).isTrue();
-    assertThat(slow.closed).as("so much would have to be read to no use").isTrue();
-    assertThat(fair.over).isNull();
+    assertThat(slow.clientCut).isTrue();
+    assertThat(slow.serverClosed).as("too many bytes remain to be discarded").isTrue();
+    assertThat(fair.endedComplete).isNull();
     assertThat(relays.slowClients()).isEqualTo(1);
   }
 
   @Test
-  void theRestOfAValueThatNobodyWantsIsReadWhereItIsSmallOrOthersWaitBehindIt() {
+  void discardsTheRestOfAnUnwantedValueIfItIsSmallOrTheConnectionIsShared() {
     Relays relays = new Relays(SETTINGS);
-    Sides large = new Sides(relays, 0, 8 * READ);
-    Sides small = new Sides(relays, 0, 4 * READ);
-    Sides shared = new Sides(relays, 0, 40 * READ);
+    Endpoints large = new Endpoints(relays, 0, 8 * READ_BYTES);
+    Endpoints small = new Endpoints(relays, 0, 4 * READ_BYTES);
+    Endpoints shared = new Endpoints(relays, 0, 40 * READ_BYTES);
     shared.shared = true;
-    for (Sides one : List.of(large, small, shared)) {
-      one.relay.turn(0);
-      one.comes(0, READ);
-      one.relay.clientGone(1);
-      assertThat(one.over).isFalse();
+    for (Endpoints endpoints : List.of(large, small, shared)) {
+      endpoints.relay.clientReady(0);
+      endpoints.sendFromServer(0, READ_BYTES);
+      endpoints.relay.clientDisconnected(1);
+      assertThat(endpoints.endedComplete).isFalse();
     }
-    assertThat(relays.held()).isZero();
-    assertThat(large.closed).isTrue();
-    assertThat(small.closed).isFalse();
-    assertThat(shared.closed).isFalse();
-    int before = shared.waits;
-    shared.comes(2, 20 * READ);
-    assertThat(shared.waits).as("dropped").isEqualTo(before);
-    assertThat(shared.reads).isTrue();
-    small.comes(3, 3 * READ);
-    shared.comes(3, 19 * READ);
-    assertThat(relays.open()).isZero();
+    assertThat(relays.heldBytes()).isZero();
+    assertThat(large.serverClosed).isTrue();
+    assertThat(small.serverClosed).isFalse();
+    assertThat(shared.serverClosed).isFalse();
+    int undeliveredBefore = shared.undelivered;
+    shared.sendFromServer(2, 20 * READ_BYTES);
+    assertThat(shared.undelivered).as("dropped, not passed on").isEqualTo(undeliveredBefore);
+    assertThat(shared.reading).isTrue();
+    small.sendFromServer(3, 3 * READ_BYTES);
+    shared.sendFromServer(3, 19 * READ_BYTES);
+    assertThat(relays.openCount()).isZero();
   }
 
   @Test
-  void settingsThatMakeNoSenseAreNamed() {
+  void reportsEachInvalidSetting() {
     assertThatThrownBy(() -> new Relays(new RelaySettings(0, -1, 0, 1, 0, -1)))
         .isInstanceOf(IllegalArgumentException.class)
-        .hasMessageContaining("holdEach")
-        .hasMessageContaining("holdAll")
-        .hasMessageContaining("paceBytes")
-        .hasMessageContaining("silentNanos")
-        .hasMessageContaining("skipBytes");
+        .hasMessageContaining("maxHeldPerValue must")
+        .hasMessageContaining("maxHeldTotal")
+        .hasMessageContaining("minPaceBytes")
+        .hasMessageContaining("maxSilenceNanos")
+        .hasMessageContaining("maxDiscardBytes");
   }
 
-  /** Random orders of all that can happen: memory is bounded, each ends once, none stands still. */
+  /**
+   * Runs random sequences of all events: memory is bounded, each relay ends once, and none stays
+   * paused with nothing held.
+   */
   @Property(tries = 300, seed = "20261201")
-  void noOrderOfEventsBreaksWhatMustHold(@ForAll long seed) {
+  void invariantsHoldForRandomEventOrders(@ForAll long seed) {
     Random random = new Random(seed);
     Relays relays = new Relays(SETTINGS);
-    List<Sides> all = new ArrayList<>();
+    List<Endpoints> all = new ArrayList<>();
     long now = 0;
     for (int step = 0; step < 500; step++) {
       now += random.nextInt(4) * MS;
       if (random.nextInt(8) == 0) {
-        all.add(new Sides(relays, now, (1 + random.nextInt(30)) * READ));
+        all.add(new Endpoints(relays, now, (1 + random.nextInt(30)) * READ_BYTES));
         all.get(all.size() - 1).shared = random.nextBoolean();
       }
       if (all.isEmpty()) {
         continue;
       }
-      Sides one = all.get(random.nextInt(all.size()));
+      Endpoints endpoints = all.get(random.nextInt(all.size()));
       switch (random.nextInt(12)) {
         case 0, 1, 2, 3, 4 -> {
-          if (one.owed > 0 && one.reads && !one.closed) {
-            one.comes(now, Math.min(one.owed, 1 + random.nextInt(READ)));
+          if (endpoints.bytesToSend > 0 && endpoints.reading && !endpoints.serverClosed) {
+            endpoints.sendFromServer(
+                now, Math.min(endpoints.bytesToSend, 1 + random.nextInt(READ_BYTES)));
           }
         }
         case 5, 6, 7 -> {
-          if (one.over == null && one.waits > 0) {
-            one.takes(now, 1 + random.nextInt(one.waits));
+          if (endpoints.endedComplete == null && endpoints.undelivered > 0) {
+            endpoints.deliverToClient(now, 1 + random.nextInt(endpoints.undelivered));
           }
         }
         case 8, 9 -> {
-          if (one.over == null && !one.cut) {
-            one.relay.turn(now);
+          if (endpoints.endedComplete == null && !endpoints.clientCut) {
+            endpoints.relay.clientReady(now);
           }
         }
         case 10 -> {
-          if (random.nextInt(4) == 0 && one.over == null) {
-            one.relay.clientGone(now);
-          } else if (random.nextInt(4) == 0 && one.owed > 0 && !one.closed) {
-            one.closed = true;
-            one.relay.broken();
+          if (random.nextInt(4) == 0 && endpoints.endedComplete == null) {
+            endpoints.relay.clientDisconnected(now);
+          } else if (random.nextInt(4) == 0
+              && endpoints.bytesToSend > 0
+              && !endpoints.serverClosed) {
+            endpoints.serverClosed = true;
+            endpoints.relay.aborted();
           }
         }
         default -> relays.tick(now);
       }
-      long live = all.stream().filter(side -> side.over == null).count();
-      assertThat(relays.held())
-          .isEqualTo(all.stream().filter(side -> side.over == null).mapToLong(s -> s.waits).sum())
-          .isLessThanOrEqualTo(SETTINGS.holdAll() + live * READ);
-      for (Sides side : all) {
-        assertThat(side.over == null ? side.waits : 0).isLessThan(SETTINGS.holdEach() + READ);
-        boolean stopped = side.over == null && !side.reads;
-        assertThat(stopped && side.waits == 0).as("stopped with nothing held").isFalse();
+      long openCount = all.stream().filter(other -> other.endedComplete == null).count();
+      assertThat(relays.heldBytes())
+          .isEqualTo(
+              all.stream()
+                  .filter(other -> other.endedComplete == null)
+                  .mapToLong(s -> s.undelivered)
+                  .sum())
+          .isLessThanOrEqualTo(SETTINGS.maxHeldTotal() + openCount * READ_BYTES);
+      for (Endpoints other : all) {
+        assertThat(other.endedComplete == null ? other.undelivered : 0)
+            .isLessThan(SETTINGS.maxHeldPerValue() + READ_BYTES);
+        boolean stopped = other.endedComplete == null && !other.reading;
+        assertThat(stopped && other.undelivered == 0).as("paused with nothing held").isFalse();
       }
     }
-    // Once time has passed without a word from anyone whose turn has come, all of it has ended.
-    for (Sides side : all) {
-      if (side.over == null) {
-        side.relay.turn(now);
+    // After long enough without events, every relay whose client is ready has ended.
+    for (Endpoints other : all) {
+      if (other.endedComplete == null) {
+        other.relay.clientReady(now);
       }
     }
     for (int i = 0; i < 4; i++) {
       now += 200 * MS;
       relays.tick(now);
     }
-    assertThat(all).allMatch(side -> side.over != null);
-    assertThat(relays.held()).isZero();
-    assertThat(relays.open()).isZero();
+    assertThat(all).allMatch(other -> other.endedComplete != null);
+    assertThat(relays.heldBytes()).isZero();
+    assertThat(relays.openCount()).isZero();
   }
 }
--- a/src/test/java/beamspread/report/TalliesTest.java
+++ b/src/test/java/beamspread/report/TalliesTest.java
@@ -15,9 +15,9 @@
   private static String second(long at, int reads, long server) {
     Tally tally = new Tally();
     for (int i = 0; i < reads; i++) {
-      tally.taken(false);
-      tally.sent(true, i * 0.1);
-      tally.ended(
+      tally.requestAccepted(false);
+      tally.attemptSent(true, i * 0.1);
+      tally.attemptEnded(
           new Outcome(
               "r" + i,
               0,
@@ -29,9 +29,9 @@
               null),
           false);
     }
-    tally.served(false, true);
-    tally.refused(true);
-    return tally.line(at, new Tally.Gauges(1, 2, 3, 4, 5, 6));
+    tally.requestServed(false, true);
+    tally.requestRefused(true);
+    return tally.nextLine(at, new Tally.Gauges(1, 2, 3, 4, 5, 6));
   }
 
   @Test
@@ -70,11 +70,11 @@
   @Test
   void aSecondBeginsWithNothing() {
     Tally tally = new Tally();
-    tally.taken(true);
-    tally.failed();
+    tally.requestAccepted(true);
+    tally.requestFailed();
     Tally.Gauges gauges = new Tally.Gauges(0, 0, 0, 0, 7, 1);
-    assertThat(tally.line(1, gauges)).contains(" writes=1 ").contains(" failed=1 ");
-    assertThat(tally.line(2, gauges))
+    assertThat(tally.nextLine(1, gauges)).contains(" writes=1 ").contains(" failed=1 ");
+    assertThat(tally.nextLine(2, gauges))
         .contains(" writes=0 ")
         .contains(" failed=0 ")
         .contains(" opened=0 ")
