--- a/src/bench/java/beamspread/tier/TierBenchmark.java
+++ b/src/bench/java/beamspread/tier/TierBenchmark.java
@@ -43,11 +43,11 @@
 
   @Setup
   public void fill() {
-    tier = new Tier(SETTINGS, 0, members, new Card("n0", "a", "1"), 1, 1, 0, this);
+    tier = new Tier(SETTINGS, 0, members, new MemberInfo("n0", "a", "1"), 1, 1, 0, this);
     beats = new byte[members][];
     for (int number = 1; number < members; number++) {
       beats[number] = beat(number, 0);
-      tier.received(now, number, beats[number]);
+      tier.receive(now, number, beats[number]);
     }
     for (int turn = 0; turn < 200; turn++) {
       turn();
@@ -62,7 +62,7 @@
     MemberRecord own = new MemberRecord(number, 50, 0, MemberState.ALIVE);
     return new Datagram(
             Datagram.Kind.ANSWER, SETTINGS.tag(), own, 1, 0, Datagram.NEVER, digest, List.of())
-        .bytes();
+        .encode();
   }
 
   /** A turn, with the beats that it sends; once in 200 of them all are heard. */
@@ -70,7 +70,7 @@
   public int turn() {
     now += SETTINGS.intervalNanos();
     for (int number = 1; turns % FED_EVERY == 0 && number < members; number++) {
-      tier.received(now, number, beats[number]);
+      tier.receive(now, number, beats[number]);
     }
     turns++;
     tier.run(now);
@@ -81,7 +81,7 @@
   @Benchmark
   public int datagram() {
     next = next % (members - 1) + 1;
-    tier.received(now, next, beats[next]);
+    tier.receive(now, next, beats[next]);
     return told;
   }
 
@@ -91,7 +91,7 @@
   }
 
   @Override
-  public void changed(MemberRecord before, MemberRecord after, String why) {
+  public void memberChanged(MemberRecord before, MemberRecord after, String why) {
     told++;
   }
 }
--- a/src/main/java/beamspread/chaos/members/TierMember.java
+++ b/src/main/java/beamspread/chaos/members/TierMember.java
@@ -1,6 +1,6 @@
 package beamspread.chaos.members;
 
-import beamspread.tier.Card;
+import beamspread.tier.MemberInfo;
 import beamspread.tier.MemberRecord;
 import beamspread.tier.Tier;
 import beamspread.tier.TierActions;
@@ -30,7 +30,7 @@
                 settings,
                 number,
                 members,
-                new Card("n" + number, "z" + number % 3, "1.0"),
+                new MemberInfo("n" + number, "z" + number % 3, "1.0"),
                 1_000_000 + now / 1_000_000_000 + clockSteps.applyAsLong(start),
                 seed * 1_000_003 + number * 101L + start,
                 now,
@@ -41,10 +41,10 @@
                   }
 
                   @Override
-                  public void changed(MemberRecord before, MemberRecord after, String why) {
-                    boolean was = before != null && before.state().here();
-                    if (was != after.state().here() && after.number() != number) {
-                      surroundings.judged(after.number(), after.state().here());
+                  public void memberChanged(MemberRecord before, MemberRecord after, String why) {
+                    boolean was = before != null && before.state().isActive();
+                    if (was != after.state().isActive() && after.number() != number) {
+                      surroundings.judged(after.number(), after.state().isActive());
                     }
                   }
                 }));
@@ -52,7 +52,7 @@
 
   /** Members of a tier on the usual settings and a clock that goes right. */
   public static Maker maker(int members, long seed) {
-    return maker(TierSettings.usual("trial"), members, seed, start -> 0);
+    return maker(TierSettings.defaults("trial"), members, seed, start -> 0);
   }
 
   /** The state machine. */
@@ -62,7 +62,7 @@
 
   @Override
   public long due() {
-    return tier.due();
+    return tier.nextRunAt();
   }
 
   @Override
@@ -72,7 +72,7 @@
 
   @Override
   public void received(long now, int from, byte[] datagram) {
-    tier.received(now, from, datagram);
+    tier.receive(now, from, datagram);
   }
 
   @Override
@@ -83,7 +83,7 @@
   @Override
   public boolean here(int number) {
     MemberRecord of = tier.member(number);
-    return of != null && of.state().here();
+    return of != null && of.state().isActive();
   }
 
   @Override
--- a/src/main/java/beamspread/cli/MeasureTier.java
+++ b/src/main/java/beamspread/cli/MeasureTier.java
@@ -145,7 +145,7 @@
   }
 
   private TierSettings settings() {
-    TierSettings usual = TierSettings.usual("trial");
+    TierSettings usual = TierSettings.defaults("trial");
     return new TierSettings(
         usual.name(),
         usual.intervalNanos(),
--- a/src/main/java/beamspread/node/Node.java
+++ b/src/main/java/beamspread/node/Node.java
@@ -409,7 +409,7 @@
           () -> {
             dispatcher.reload(changed);
             if (tier != null && changed.tier() != null) {
-              tier.peers(changed.tier().peers());
+              tier.setPeers(changed.tier().peers());
             }
             if (digest != null) {
               configuration = configuration.accepted(digest, changed.needsRestart(config));
--- a/src/main/java/beamspread/node/NodeConfig.java
+++ b/src/main/java/beamspread/node/NodeConfig.java
@@ -2,14 +2,14 @@
 
 import beamspread.model.Settings;
 import beamspread.node.discovery.MemberList;
-import beamspread.node.tier.TierPart;
+import beamspread.node.tier.TierConfig;
 import beamspread.node.variants.VariantFileReader;
 import beamspread.node.variants.VariantPart;
 import beamspread.pool.PoolSettings;
 import beamspread.sim.Dialect;
 import beamspread.sim.Message;
 import beamspread.sim.WireException;
-import beamspread.tier.Card;
+import beamspread.tier.MemberInfo;
 import beamspread.tier.TierSettings;
 import beamspread.variants.VariantFile;
 import beamspread.variants.VariantRule;
@@ -58,7 +58,7 @@
     boolean jsonLog,
     String statusSocket,
     Management management,
-    TierPart tier,
+    TierConfig tier,
     VariantPart variants) {
 
   /**
@@ -134,7 +134,7 @@
   }
 
   /** Where the platform lets nodes talk and the operators' file says so; else null. */
-  private static TierPart tier(Message config, Settings settings) throws WireException {
+  private static TierConfig tier(Message config, Settings settings) throws WireException {
     String file = config.text("tier_file", null);
     if (file == null) {
       return null;
@@ -145,7 +145,7 @@
     }
     TierSettings of;
     try {
-      of = TierPart.settings(Message.parse(new String(read(file), StandardCharsets.UTF_8)));
+      of = TierConfig.settings(Message.parse(new String(read(file), StandardCharsets.UTF_8)));
     } catch (WireException e) {
       throw new WireException("tier_file " + file + ": " + e.getMessage());
     }
@@ -162,16 +162,16 @@
           "peers: has " + peers.size() + " addresses and none for number " + settings.number());
     }
     InetSocketAddress listen;
-    Card card;
+    MemberInfo card;
     try {
       listen = MemberList.listenAddress(config.requiredText("peer_listen"));
-      card = new Card(config.text("name", "node"), settings.zone(), VERSION);
+      card = new MemberInfo(config.text("name", "node"), settings.zone(), VERSION);
     } catch (WireException e) {
       throw new WireException("peer_listen: " + e.getMessage());
     } catch (IllegalArgumentException e) {
       throw new WireException("tier_file: " + e.getMessage());
     }
-    return new TierPart(listen, peers, settings.number(), card, of, management(config) != null);
+    return new TierConfig(listen, peers, settings.number(), card, of, management(config) != null);
   }
 
   /** Where the operators' file says which keys are variants of one another; else null. */
--- a/src/main/java/beamspread/node/tier/TierSocket.java
+++ b/src/main/java/beamspread/node/tier/TierSocket.java
@@ -26,137 +26,141 @@
 import java.util.function.Consumer;
 
 /**
- * The datagrams of the tier, on the node's event loop. Carries out what {@link Tier} decides; to be
- * used on the loop alone once it is open.
+ * Sends and receives the tier's datagrams on the node's event loop, as {@link Tier} decides. Once
+ * open it may only be used on the event loop.
  */
 public final class TierSocket {
-  /** Datagrams read in a turn of the loop: what requests need comes in between. */
-  private static final int READS_A_TURN = 16;
+  /**
+   * Maximum number of datagrams read in one run of the event loop, so that requests are served in
+   * between.
+   */
+  private static final int MAX_READS_PER_LOOP_RUN = 16;
 
   private final EventLoop loop;
   private final Consumer<String> log;
   private final Tier tier;
-  private final Map<InetSocketAddress, Integer> numbers = new HashMap<>();
+  private final Map<InetSocketAddress, Integer> numberByAddress = new HashMap<>();
   private List<InetSocketAddress> peers;
   private Channel channel;
-  private ScheduledFuture<?> next;
-  private long nextAt = Long.MAX_VALUE;
-  private boolean wrote;
+  private ScheduledFuture<?> nextRun;
+  private long nextRunAt = Long.MAX_VALUE;
+  private boolean flushNeeded;
   private boolean closed;
 
-  private TierSocket(EventLoop loop, TierPart part, long seed, Consumer<String> log) {
+  private TierSocket(EventLoop loop, TierConfig config, long seed, Consumer<String> log) {
     this.loop = loop;
     this.log = log;
     this.tier =
         new Tier(
-            part.settings(),
-            part.number(),
-            part.peers().size(),
-            part.card(),
+            config.settings(),
+            config.number(),
+            config.peers().size(),
+            config.info(),
             System.currentTimeMillis() / 1000,
             seed,
             System.nanoTime(),
-            new Doing());
-    peers(part.peers());
+            new SocketActions());
+    setPeers(config.peers());
   }
 
   /**
-   * Opens the socket and takes part.
+   * Opens the socket and joins the tier.
    *
-   * @param log told of each change, in words
-   * @throws IOException if the address can't be listened on
+   * @param log receives a message for each change of a member
+   * @throws IOException if the address cannot be bound
    */
-  public static TierSocket open(EventLoop loop, TierPart part, long seed, Consumer<String> log)
+  public static TierSocket open(EventLoop loop, TierConfig config, long seed, Consumer<String> log)
       throws IOException, InterruptedException {
-    TierSocket socket = new TierSocket(loop, part, seed, log);
+    TierSocket socket = new TierSocket(loop, config, seed, log);
     var bound =
         new Bootstrap()
             .group(loop)
             .channel(NioDatagramChannel.class)
-            // One byte more, so that a datagram that is too long is seen to be.
+            // One byte more than the maximum, so that oversized datagrams can be recognised.
             .option(
                 ChannelOption.RECVBUF_ALLOCATOR,
-                new FixedRecvByteBufAllocator(Tier.LARGEST_DATAGRAM + 1)
-                    .maxMessagesPerRead(READS_A_TURN))
-            // Of two processes the one that opened last is given the datagrams.
-            .option(ChannelOption.SO_REUSEADDR, part.shared())
-            .handler(socket.new Reader())
-            .bind(part.listen())
+                new FixedRecvByteBufAllocator(Tier.MAX_DATAGRAM_BYTES + 1)
+                    .maxMessagesPerRead(MAX_READS_PER_LOOP_RUN))
+            // Of two processes on the port, the one that bound it last receives the datagrams.
+            .option(ChannelOption.SO_REUSEADDR, config.sharedPort())
+            .handler(socket.new DatagramHandler())
+            .bind(config.listen())
             .await();
     if (!bound.isSuccess()) {
       throw new IOException(
-          "cannot listen for the tier on " + part.listen() + ": " + bound.cause().getMessage());
+          "cannot listen for the tier on " + config.listen() + ": " + bound.cause().getMessage());
     }
     socket.channel = bound.channel();
     loop.execute(socket::run);
     return socket;
   }
 
-  /** The addresses of all numbers are these from now on. */
-  public void peers(List<InetSocketAddress> addresses) {
+  /** Sets the addresses of all member numbers. */
+  public void setPeers(List<InetSocketAddress> addresses) {
     peers = List.copyOf(addresses);
-    numbers.clear();
+    numberByAddress.clear();
     for (int i = 0; i < peers.size(); i++) {
-      numbers.put(peers.get(i), i);
+      numberByAddress.put(peers.get(i), i);
     }
     tier.resize(peers.size());
   }
 
   private void run() {
-    next = null;
-    nextAt = Long.MAX_VALUE;
+    nextRun = null;
+    nextRunAt = Long.MAX_VALUE;
     if (closed) {
       return;
     }
     tier.run(System.nanoTime());
-    settle();
+    flushAndSchedule();
   }
 
-  /** Sends what was written, and comes back when something is due. */
-  private void settle() {
-    if (wrote) {
-      wrote = false;
+  /** Flushes written datagrams and schedules the next run. */
+  private void flushAndSchedule() {
+    if (flushNeeded) {
+      flushNeeded = false;
       channel.flush();
     }
-    long due = tier.due();
-    if (!closed && due < nextAt) {
-      if (next != null) {
-        next.cancel(false);
+    long due = tier.nextRunAt();
+    if (!closed && due < nextRunAt) {
+      if (nextRun != null) {
+        nextRun.cancel(false);
       }
-      nextAt = due;
-      next = loop.schedule(this::run, Math.max(0, due - System.nanoTime()), TimeUnit.NANOSECONDS);
+      nextRunAt = due;
+      nextRun =
+          loop.schedule(this::run, Math.max(0, due - System.nanoTime()), TimeUnit.NANOSECONDS);
     }
   }
 
-  /** The tier as this node sees it. */
+  /** Returns the tier as this node sees it. */
   public TierView view() {
     return tier.view(System.nanoTime());
   }
 
-  /** The state machine, for who shows its counts. */
+  /** Returns the state machine, for access to its counts. */
   public Tier tier() {
     return tier;
   }
 
-  /** This node ends: all are told at once, and nothing more is sent or taken. */
+  /** Announces to the members that this node leaves, and closes the socket. */
   public void leave() {
     if (closed) {
       return;
     }
     tier.leave(System.nanoTime());
-    settle();
+    flushAndSchedule();
     closed = true;
-    if (next != null) {
-      next.cancel(false);
+    if (nextRun != null) {
+      nextRun.cancel(false);
     }
     channel.close();
   }
 
-  private final class Doing implements TierActions {
+  private final class SocketActions implements TierActions {
     @Override
     public void send(int number, byte[] datagram) {
       if (number < peers.size() && channel != null) {
-        wrote = true;
+        flushNeeded = true;
         channel.write(
             new DatagramPacket(Unpooled.wrappedBuffer(datagram), peers.get(number)),
             channel.voidPromise());
@@ -164,36 +168,36 @@
     }
 
     @Override
-    public void changed(MemberRecord before, MemberRecord after, String why) {
+    public void memberChanged(MemberRecord before, MemberRecord after, String reason) {
       log.accept(
           "tier: %d %s: %s, incarnation %x, life %d"
               .formatted(
                   after.number(),
                   after.state().name().toLowerCase(java.util.Locale.ROOT),
-                  why,
+                  reason,
                   after.incarnation(),
-                  after.life()));
+                  after.revision()));
     }
   }
 
-  private final class Reader extends SimpleChannelInboundHandler<DatagramPacket> {
+  private final class DatagramHandler extends SimpleChannelInboundHandler<DatagramPacket> {
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
       if (!closed) {
         ByteBuf content = packet.content();
-        int from = numbers.getOrDefault(packet.sender(), -1);
-        tier.received(System.nanoTime(), from, ByteBufUtil.getBytes(content));
+        int from = numberByAddress.getOrDefault(packet.sender(), -1);
+        tier.receive(System.nanoTime(), from, ByteBufUtil.getBytes(content));
       }
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-      settle();
+      flushAndSchedule();
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      // Nobody listens at a peer's port: that is a silence, which is judged as such.
+      // No process listens on a peer's port. The failure detector notices the peer's silence.
     }
   }
 }
--- a/src/main/java/beamspread/node/tier/TierStatus.java
+++ b/src/main/java/beamspread/node/tier/TierStatus.java
@@ -7,11 +7,11 @@
 import java.io.IOException;
 import java.util.Locale;
 
-/** What a node tells of its tier, as a field of its status. */
+/** Writes the {@code tier} field of the node's status. */
 public final class TierStatus {
   private TierStatus() {}
 
-  /** Writes the field {@code tier}; {@code null} where the node takes no part in one. */
+  /** Writes the field {@code tier}; {@code null} if the node is not a member of a tier. */
   public static void write(JsonGenerator json, TierSocket socket) throws IOException {
     if (socket == null) {
       json.writeNullField("tier");
@@ -22,62 +22,65 @@
     json.writeNumberField("self", view.self());
     json.writeNumberField("version", view.version());
     json.writeStringField("digest", String.format("%08x", view.digest()));
-    json.writeStringField("standing", word(view.standing()));
+    json.writeStringField("standing", lowerCaseName(view.selfState()));
     json.writeBooleanField("superseded", socket.tier().superseded());
-    TierView.Connected connected = view.connected();
+    TierView.Connectivity connected = view.connectivity();
     json.writeObjectFieldStart("connected");
-    json.writeNumberField("hears", rounded(connected.hears()));
-    json.writeNumberField("heard_by", rounded(connected.heardBy()));
-    json.writeNumberField("both_ways", rounded(connected.bothWays()));
-    json.writeNumberField("of", connected.of());
+    json.writeNumberField("hears", roundToThreeDecimals(connected.hears()));
+    json.writeNumberField("heard_by", roundToThreeDecimals(connected.heardBy()));
+    json.writeNumberField("both_ways", roundToThreeDecimals(connected.bothWays()));
+    json.writeNumberField("of", connected.memberCount());
     json.writeEndObject();
     json.writeArrayFieldStart("members");
-    for (TierView.Seen seen : view.members()) {
-      member(json, seen);
+    for (TierView.MemberView member : view.members()) {
+      writeMember(json, member);
     }
     json.writeEndArray();
-    counts(json, socket.tier().counts());
+    writeCounts(json, socket.tier().counts());
     json.writeEndObject();
   }
 
-  private static void member(JsonGenerator json, TierView.Seen seen) throws IOException {
+  private static void writeMember(JsonGenerator json, TierView.MemberView member)
+      throws IOException {
     json.writeStartObject();
-    json.writeNumberField("number", seen.record().number());
-    json.writeStringField("name", seen.card() == null ? null : seen.card().name());
-    json.writeStringField("zone", seen.card() == null ? null : seen.card().zone());
-    json.writeStringField("runs", seen.card() == null ? null : seen.card().version());
-    json.writeStringField("state", seen.suspect() ? "suspect" : word(seen.record().state()));
-    json.writeStringField("incarnation", Long.toHexString(seen.record().incarnation()));
-    json.writeNumberField("life", seen.record().life());
-    json.writeNumberField("since_ms", seen.sinceNanos() / 1_000_000);
-    json.writeNumberField("heard_ms", seen.heardNanos() < 0 ? -1 : seen.heardNanos() / 1_000_000);
-    json.writeNumberField("confidence", rounded(seen.confidence()));
+    json.writeNumberField("number", member.record().number());
+    json.writeStringField("name", member.info() == null ? null : member.info().name());
+    json.writeStringField("zone", member.info() == null ? null : member.info().zone());
+    json.writeStringField("runs", member.info() == null ? null : member.info().version());
+    json.writeStringField(
+        "state", member.isSuspect() ? "suspect" : lowerCaseName(member.record().state()));
+    json.writeStringField("incarnation", Long.toHexString(member.record().incarnation()));
+    json.writeNumberField("life", member.record().revision());
+    json.writeNumberField("since_ms", member.sinceNanos() / 1_000_000);
+    json.writeNumberField(
+        "heard_ms", member.sinceHeardNanos() < 0 ? -1 : member.sinceHeardNanos() / 1_000_000);
+    json.writeNumberField("confidence", roundToThreeDecimals(member.confidence()));
     json.writeArrayFieldStart("missed_by");
-    for (int number : seen.missedBy()) {
+    for (int number : member.missedBy()) {
       json.writeNumber(number);
     }
     json.writeEndArray();
     json.writeEndObject();
   }
 
-  private static void counts(JsonGenerator json, TierCounts counts) throws IOException {
+  private static void writeCounts(JsonGenerator json, TierCounts counts) throws IOException {
     json.writeObjectFieldStart("counts");
     json.writeNumberField("sent", counts.sentDatagrams());
     json.writeNumberField("sent_bytes", counts.sentBytes());
     json.writeNumberField("received", counts.receivedDatagrams());
     json.writeNumberField("changes", counts.changes());
-    json.writeNumberField("stands", counts.stands());
-    for (String why : new String[] {"malformed", "foreign", "misplaced", "past"}) {
-      json.writeNumberField(why, counts.wrong(why));
+    json.writeNumberField("stands", counts.stalls());
+    for (String reason : new String[] {"malformed", "foreign", "misplaced", "past"}) {
+      json.writeNumberField(reason, counts.rejected(reason));
     }
     json.writeEndObject();
   }
 
-  private static String word(MemberState state) {
+  private static String lowerCaseName(MemberState state) {
     return state.name().toLowerCase(Locale.ROOT);
   }
 
-  private static double rounded(double value) {
+  private static double roundToThreeDecimals(double value) {
     return Math.round(value * 1000) / 1000.0;
   }
 }
--- a/src/main/java/beamspread/node/tier/package-info.java
+++ b/src/main/java/beamspread/node/tier/package-info.java
@@ -1,4 +1,5 @@
 /**
- * The node's part in its tier: datagrams on the event loop. Carries out what {@code tier} decides.
+ * The node as a member of its tier: sends and receives datagrams on the event loop for the state
+ * machine in {@code beamspread.tier}.
  */
 package beamspread.node.tier;
--- a/src/main/java/beamspread/tier/Datagram.java
+++ b/src/main/java/beamspread/tier/Datagram.java
@@ -6,63 +6,69 @@
 import java.util.List;
 
 /**
- * A datagram between members, 256 bytes at most: a header that says who sends it and what it has
- * heard of the receiver, then items. Read strictly: one that is wrong anywhere is not taken at all.
+ * A datagram between members, 256 bytes at most: a header with the sender's record and the state of
+ * the link, then items. Decoding is strict: a datagram with an error anywhere is rejected as a
+ * whole.
  *
- * @param kind what is wanted by it
- * @param tag of the tier
- * @param own what the sender says of itself
- * @param seq counts what the sender has sent to this receiver, 16 bits that go round
- * @param echo the highest {@code seq} that the sender has heard of the receiver
- * @param echoAgeNanos how long ago that was, {@link #NEVER} if it was never
+ * @param kind purpose of the datagram
+ * @param tag hash of the tier's name
+ * @param senderRecord the sender's record of itself
+ * @param seq 16-bit sequence number of the datagrams from this sender to this receiver; it wraps
+ *     around
+ * @param echo the highest {@code seq} that the sender has received from the receiver
+ * @param echoAgeNanos time since the sender last received a datagram from the receiver, {@link
+ *     #NEVER} if it has received none
  * @param digest of all the sender's records
  */
 record Datagram(
     Kind kind,
     int tag,
-    MemberRecord own,
+    MemberRecord senderRecord,
     int seq,
     int echo,
     long echoAgeNanos,
     int digest,
     List<Item> items) {
 
-  /** The largest that the platform lets through. */
-  static final int LARGEST = 256;
+  /** Maximum datagram size that the platform passes on. */
+  static final int MAX_BYTES = 256;
 
-  /** The smallest that is sent, so that no answer is larger than what it answers. */
-  static final int SMALLEST = 44;
+  /**
+   * Minimum datagram size; shorter ones are padded, so that no answer is larger than the datagram
+   * that it answers.
+   */
+  static final int MIN_BYTES = 44;
 
-  static final int HEADER = 26;
+  static final int HEADER_BYTES = 26;
   static final long NEVER = Long.MAX_VALUE;
 
   private static final byte MAGIC = (byte) 0xB5;
-  private static final long AGE_UNIT = 20_000_000;
-  private static final int MOST_AGE = 254;
+  private static final long AGE_UNIT_NANOS = 20_000_000;
+  private static final int MAX_ENCODED_AGE = 254;
 
-  /** What a datagram wants. */
+  /** Purpose of a datagram. The ordinal is written to the wire. */
   enum Kind {
-    /** Says that its sender is there. */
+    /** A heartbeat. */
     BEAT,
-    /** The same, and wants a beat back. */
+    /** A probe: a heartbeat that requests an answer. */
     KNOCK,
-    /** Answers a knock, or tells a member what is known of it. */
+    /** The answer to a probe, or a reply that carries a member's record or descriptive data. */
     ANSWER,
-    /** Has the sums of the sender's records and wants those that differ. */
+    /** Carries the digests of the sender's buckets and requests the records that differ. */
     COMPARE;
 
     private static final Kind[] ALL = values();
   }
 
-  /** Something that is told. */
+  /** One entry in the body of a datagram. */
   sealed interface Item {
     int size();
 
     void write(ByteBuffer out);
   }
 
-  /** A member's record. */
-  record Told(MemberRecord record) implements Item {
+  /** The record of a member. */
+  record RecordItem(MemberRecord record) implements Item {
     static final int SIZE = 12;
 
     @Override
@@ -73,13 +79,13 @@
     @Override
     public void write(ByteBuffer out) {
       out.put((byte) 1).putShort((short) record.number());
-      putIncarnation(out, record.incarnation());
-      out.putShort((short) record.life()).put((byte) record.state().ordinal());
+      writeIncarnation(out, record.incarnation());
+      out.putShort((short) record.revision()).put((byte) record.state().ordinal());
     }
   }
 
-  /** An accusation. */
-  record Accused(Accusation accusation) implements Item {
+  /** A suspicion report or its withdrawal. */
+  record SuspicionItem(SuspicionReport report) implements Item {
     static final int SIZE = 9;
 
     @Override
@@ -89,37 +95,37 @@
 
     @Override
     public void write(ByteBuffer out) {
-      out.put((byte) (accusation.silent() ? 2 : 3))
-          .putShort((short) accusation.subject())
-          .putShort((short) accusation.check())
-          .putShort((short) accusation.accuser())
-          .putShort((short) accusation.serial());
+      out.put((byte) (report.suspected() ? 2 : 3))
+          .putShort((short) report.subject())
+          .putShort((short) report.revisionHash())
+          .putShort((short) report.reporter())
+          .putShort((short) report.sequence());
     }
   }
 
-  /** A member's card. */
-  record Shown(int number, long incarnation, Card card) implements Item {
+  /** The descriptive data of a member's incarnation. */
+  record MemberInfoItem(int number, long incarnation, MemberInfo info) implements Item {
     @Override
     public int size() {
       return 12
-          + bytes(card.name()).length
-          + bytes(card.zone()).length
-          + bytes(card.version()).length;
+          + encode(info.name()).length
+          + encode(info.zone()).length
+          + encode(info.version()).length;
     }
 
     @Override
     public void write(ByteBuffer out) {
       out.put((byte) 4).putShort((short) number);
-      putIncarnation(out, incarnation);
-      for (String word : List.of(card.name(), card.zone(), card.version())) {
-        byte[] text = bytes(word);
+      writeIncarnation(out, incarnation);
+      for (String label : List.of(info.name(), info.zone(), info.version())) {
+        byte[] text = encode(label);
         out.put((byte) text.length).put(text);
       }
     }
   }
 
-  /** Asks for a member's card. */
-  record CardWanted(int number) implements Item {
+  /** Requests the descriptive data of a member. */
+  record MemberInfoRequest(int number) implements Item {
     static final int SIZE = 3;
 
     @Override
@@ -133,9 +139,9 @@
     }
   }
 
-  /** Sums of records, by {@link Roster#bucket}. */
-  record Sums(int[] sums) implements Item {
-    static final int SIZE = 1 + 4 * Roster.BUCKETS;
+  /** Digests of the sender's records, indexed by {@link MemberTable#bucket}. */
+  record BucketDigests(int[] digests) implements Item {
+    static final int SIZE = 1 + 4 * MemberTable.BUCKETS;
 
     @Override
     public int size() {
@@ -145,92 +151,96 @@
     @Override
     public void write(ByteBuffer out) {
       out.put((byte) 6);
-      for (int sum : sums) {
-        out.putInt(sum);
+      for (int digest : digests) {
+        out.putInt(digest);
       }
     }
   }
 
-  /** Why a datagram is not taken. */
-  enum Wrong {
-    /** Too short, too long, or of another form. */
+  /** Reason for which a datagram is rejected. */
+  enum RejectReason {
+    /** Too short, too long, or not in the expected format. */
     MALFORMED,
-    /** Of another tier. */
+    /** Sent by a member of another tier. */
     FOREIGN,
-    /** From an address that is not the named sender's. */
+    /** Received from an address that is not the sender's. */
     MISPLACED,
-    /** Of an incarnation that is over. */
+    /** Sent by an earlier incarnation of the member. */
     PAST
   }
 
-  /** Thrown by {@link #read}. */
-  static final class WrongException extends Exception {
+  /** Thrown by {@link #decode} for a datagram that is rejected. */
+  static final class InvalidDatagramException extends Exception {
     private static final long serialVersionUID = 1L;
-    private final Wrong why;
+    private final RejectReason reason;
 
-    WrongException(Wrong why) {
-      super(why.name(), null, false, false);
-      this.why = why;
+    InvalidDatagramException(RejectReason reason) {
+      super(reason.name(), null, false, false);
+      this.reason = reason;
     }
 
-    Wrong why() {
-      return why;
+    RejectReason reason() {
+      return reason;
     }
   }
 
-  private static byte[] bytes(String text) {
+  private static byte[] encode(String text) {
     return text.getBytes(StandardCharsets.UTF_8);
   }
 
-  private static void putIncarnation(ByteBuffer out, long incarnation) {
+  private static void writeIncarnation(ByteBuffer out, long incarnation) {
     out.putShort((short) (incarnation >>> 32)).putInt((int) incarnation);
   }
 
-  private static long incarnation(ByteBuffer in) {
+  private static long readIncarnation(ByteBuffer in) {
     return (in.getShort() & 0xFFFFL) << 32 | in.getInt() & 0xFFFFFFFFL;
   }
 
-  /** Its bytes. */
-  byte[] bytes() {
-    int size = HEADER;
+  /** Encodes the datagram, padded with zeros to its minimum size. */
+  byte[] encode() {
+    int size = HEADER_BYTES;
     for (Item item : items) {
       size += item.size();
     }
-    // What is compared is answered with as many records as fit.
-    int least = kind == Kind.COMPARE ? LARGEST : SMALLEST;
-    ByteBuffer out = ByteBuffer.allocate(Math.max(size, least));
-    out.put(MAGIC).put((byte) kind.ordinal()).putInt(tag).putShort((short) own.number());
-    putIncarnation(out, own.incarnation());
-    out.putShort((short) own.life()).put((byte) own.state().ordinal());
+    // The answer to a comparison carries as many records as fit, so the request has the maximum
+    // size.
+    int minSize = kind == Kind.COMPARE ? MAX_BYTES : MIN_BYTES;
+    ByteBuffer out = ByteBuffer.allocate(Math.max(size, minSize));
+    out.put(MAGIC).put((byte) kind.ordinal()).putInt(tag).putShort((short) senderRecord.number());
+    writeIncarnation(out, senderRecord.incarnation());
+    out.putShort((short) senderRecord.revision()).put((byte) senderRecord.state().ordinal());
     out.putShort((short) seq).putShort((short) echo);
-    long age = echoAgeNanos == NEVER ? MOST_AGE + 1 : Math.min(MOST_AGE, echoAgeNanos / AGE_UNIT);
+    long age =
+        echoAgeNanos == NEVER
+            ? MAX_ENCODED_AGE + 1
+            : Math.min(MAX_ENCODED_AGE, echoAgeNanos / AGE_UNIT_NANOS);
     out.put((byte) age).putInt(digest);
     items.forEach(item -> item.write(out));
     return out.array();
   }
 
-  /** Reads a datagram of a tier with this tag. */
-  static Datagram read(byte[] bytes, int tag) throws WrongException {
-    if (bytes.length < SMALLEST || bytes.length > LARGEST || bytes[0] != MAGIC) {
-      throw new WrongException(Wrong.MALFORMED);
+  /** Decodes a datagram; throws if it is malformed or its tag is not the one given. */
+  static Datagram decode(byte[] bytes, int tag) throws InvalidDatagramException {
+    if (bytes.length < MIN_BYTES || bytes.length > MAX_BYTES || bytes[0] != MAGIC) {
+      throw new InvalidDatagramException(RejectReason.MALFORMED);
     }
     ByteBuffer in = ByteBuffer.wrap(bytes);
     in.get();
     int kind = in.get();
-    int of = in.getInt();
+    int datagramTag = in.getInt();
     if (kind < 0 || kind >= Kind.ALL.length) {
-      throw new WrongException(Wrong.MALFORMED);
+      throw new InvalidDatagramException(RejectReason.MALFORMED);
     }
-    if (of != tag) {
-      throw new WrongException(Wrong.FOREIGN);
+    if (datagramTag != tag) {
+      throw new InvalidDatagramException(RejectReason.FOREIGN);
     }
     int number = in.getShort() & 0xFFFF;
-    long incarnation = incarnation(in);
-    int life = in.getShort() & 0xFFFF;
-    MemberState state = MemberState.of(in.get());
+    long incarnation = readIncarnation(in);
+    int revision = in.getShort() & 0xFFFF;
+    MemberState state = MemberState.fromOrdinal(in.get());
     if (state == null || state == MemberState.GONE) {
-      // Nobody says so of himself.
-      throw new WrongException(Wrong.MALFORMED);
+      // No member reports itself as gone.
+      throw new InvalidDatagramException(RejectReason.MALFORMED);
     }
     int seq = in.getShort() & 0xFFFF;
     int echo = in.getShort() & 0xFFFF;
@@ -242,76 +252,77 @@
       if (type == 0) {
         break;
       }
-      items.add(item(type, in));
+      items.add(decodeItem(type, in));
     }
     return new Datagram(
         Kind.ALL[kind],
         tag,
-        new MemberRecord(number, incarnation, life, state),
+        new MemberRecord(number, incarnation, revision, state),
         seq,
         echo,
-        age > MOST_AGE ? NEVER : age * AGE_UNIT,
+        age > MAX_ENCODED_AGE ? NEVER : age * AGE_UNIT_NANOS,
         digest,
         items);
   }
 
-  private static Item item(int type, ByteBuffer in) throws WrongException {
-    int least =
+  private static Item decodeItem(int type, ByteBuffer in) throws InvalidDatagramException {
+    int minSize =
         switch (type) {
-          case 1 -> Told.SIZE;
-          case 2, 3 -> Accused.SIZE;
+          case 1 -> RecordItem.SIZE;
+          case 2, 3 -> SuspicionItem.SIZE;
           case 4 -> 12;
-          case 5 -> CardWanted.SIZE;
-          case 6 -> Sums.SIZE;
-          default -> throw new WrongException(Wrong.MALFORMED);
+          case 5 -> MemberInfoRequest.SIZE;
+          case 6 -> BucketDigests.SIZE;
+          default -> throw new InvalidDatagramException(RejectReason.MALFORMED);
         };
-    if (in.remaining() < least - 1) {
-      throw new WrongException(Wrong.MALFORMED);
+    if (in.remaining() < minSize - 1) {
+      throw new InvalidDatagramException(RejectReason.MALFORMED);
     }
     if (type == 6) {
-      int[] sums = new int[Roster.BUCKETS];
-      for (int i = 0; i < sums.length; i++) {
-        sums[i] = in.getInt();
+      int[] digests = new int[MemberTable.BUCKETS];
+      for (int i = 0; i < digests.length; i++) {
+        digests[i] = in.getInt();
       }
-      return new Sums(sums);
+      return new BucketDigests(digests);
     }
     int number = in.getShort() & 0xFFFF;
     if (type == 5) {
-      return new CardWanted(number);
+      return new MemberInfoRequest(number);
     }
     if (type == 2 || type == 3) {
-      int check = in.getShort() & 0xFFFF;
-      int accuser = in.getShort() & 0xFFFF;
-      int serial = in.getShort() & 0xFFFF;
-      return new Accused(new Accusation(number, check, accuser, serial, type == 2));
+      int revisionHash = in.getShort() & 0xFFFF;
+      int reporter = in.getShort() & 0xFFFF;
+      int sequence = in.getShort() & 0xFFFF;
+      return new SuspicionItem(
+          new SuspicionReport(number, revisionHash, reporter, sequence, type == 2));
     }
-    long incarnation = incarnation(in);
+    long incarnation = readIncarnation(in);
     if (type == 4) {
-      return new Shown(number, incarnation, card(in));
+      return new MemberInfoItem(number, incarnation, decodeMemberInfo(in));
     }
-    int life = in.getShort() & 0xFFFF;
-    MemberState state = MemberState.of(in.get());
+    int revision = in.getShort() & 0xFFFF;
+    MemberState state = MemberState.fromOrdinal(in.get());
     if (state == null) {
-      throw new WrongException(Wrong.MALFORMED);
+      throw new InvalidDatagramException(RejectReason.MALFORMED);
     }
-    return new Told(new MemberRecord(number, incarnation, life, state));
+    return new RecordItem(new MemberRecord(number, incarnation, revision, state));
   }
 
-  private static Card card(ByteBuffer in) throws WrongException {
-    String[] words = new String[3];
-    for (int i = 0; i < words.length; i++) {
-      int length = in.hasRemaining() ? in.get() & 0xFF : LARGEST;
+  private static MemberInfo decodeMemberInfo(ByteBuffer in) throws InvalidDatagramException {
+    String[] labels = new String[3];
+    for (int i = 0; i < labels.length; i++) {
+      int length = in.hasRemaining() ? in.get() & 0xFF : MAX_BYTES;
       if (length > in.remaining()) {
-        throw new WrongException(Wrong.MALFORMED);
+        throw new InvalidDatagramException(RejectReason.MALFORMED);
       }
       byte[] text = new byte[length];
       in.get(text);
-      words[i] = new String(text, StandardCharsets.UTF_8);
+      labels[i] = new String(text, StandardCharsets.UTF_8);
     }
     try {
-      return new Card(words[0], words[1], words[2]);
+      return new MemberInfo(labels[0], labels[1], labels[2]);
     } catch (IllegalArgumentException e) {
-      throw new WrongException(Wrong.MALFORMED);
+      throw new InvalidDatagramException(RejectReason.MALFORMED);
     }
   }
 }
--- a/src/main/java/beamspread/tier/MemberRecord.java
+++ b/src/main/java/beamspread/tier/MemberRecord.java
@@ -1,40 +1,41 @@
 package beamspread.tier;
 
 /**
- * What is known of a member, and how new that is. Of two records the newer holds everywhere, so
- * that all who have heard both agree, whatever the order in which they did.
+ * What is known of a member. Of two records of a member all processes prefer the same one, so they
+ * agree once they have received the same records, in any order.
  *
  * @param number of the member in the tier
- * @param incarnation of its process: higher for a later start, 48 bits
- * @param life how often this incarnation has spoken anew of itself, 16 bits
+ * @param incarnation of its process, 48 bits: higher for a later start
+ * @param revision how often this incarnation has published its record again, 16 bits
  */
-public record MemberRecord(int number, long incarnation, int life, MemberState state) {
-  /** The highest incarnation. */
-  static final long LAST_INCARNATION = (1L << 48) - 1;
+public record MemberRecord(int number, long incarnation, int revision, MemberState state) {
+  /** The highest incarnation number. */
+  static final long MAX_INCARNATION = (1L << 48) - 1;
 
-  /** The highest life. */
-  static final int LAST_LIFE = 0xFFFF;
+  /** The highest revision number. */
+  static final int MAX_REVISION = 0xFFFF;
 
   /**
-   * Whether this holds where the other is known. Within a life the judgement of others holds
-   * against what the member said, until it speaks anew; and who has left does not come back but in
-   * a new incarnation.
+   * Returns whether this record replaces the other. Within a revision GONE, which others decide,
+   * overrides the member's own state until the member publishes a new revision. LEFT is final for
+   * an incarnation.
    */
-  public boolean newerThan(MemberRecord other) {
+  public boolean isNewerThan(MemberRecord other) {
     if (other == null || incarnation != other.incarnation) {
       return other == null || incarnation > other.incarnation;
     }
     if (state == MemberState.LEFT || other.state == MemberState.LEFT) {
       return other.state != MemberState.LEFT;
     }
-    if (life != other.life) {
-      return life > other.life;
+    if (revision != other.revision) {
+      return revision > other.revision;
     }
     return state == MemberState.GONE && other.state != MemberState.GONE;
   }
 
-  /** What stands for this record in digests. */
+  /** Returns the hash that represents this record in digests. */
   long hash() {
-    return Mix.of(Mix.of((long) number << 48 | incarnation), (long) life << 8 | state.ordinal());
+    return Hashing.hash(
+        Hashing.hash((long) number << 48 | incarnation), (long) revision << 8 | state.ordinal());
   }
 }
--- a/src/main/java/beamspread/tier/MemberState.java
+++ b/src/main/java/beamspread/tier/MemberState.java
@@ -1,27 +1,30 @@
 package beamspread.tier;
 
-/** What a member says of itself, or others have judged of it. */
+/**
+ * State of a member, as it reports itself or as others have decided. The ordinal is written to the
+ * wire.
+ */
 public enum MemberState {
-  /** It says that it is well. */
+  /** The member reports that it works normally. */
   ALIVE,
-  /** It says that it stood still a short time ago. */
+  /** The member reports that it stalled a short time ago. */
   PAUSED,
-  /** It says that it hears too few others to judge them. */
+  /** The member reports that it hears too few others to suspect them. */
   UNSURE,
-  /** Others have judged that it is gone. */
+  /** A quorum of observers has found that the member failed. */
   GONE,
-  /** It said that it leaves. */
+  /** The member has left deliberately. */
   LEFT;
 
   private static final MemberState[] ALL = values();
 
-  /** The state of this number; null if there is none. */
-  static MemberState of(int ordinal) {
+  /** Returns the state with this ordinal; null if there is none. */
+  static MemberState fromOrdinal(int ordinal) {
     return ordinal >= 0 && ordinal < ALL.length ? ALL[ordinal] : null;
   }
 
-  /** Whether it takes part. */
-  public boolean here() {
+  /** Returns whether the member takes part in the tier. */
+  public boolean isActive() {
     return this == ALIVE || this == PAUSED || this == UNSURE;
   }
 }
--- a/src/main/java/beamspread/tier/Rings.java
+++ b/src/main/java/beamspread/tier/Rings.java
@@ -7,76 +7,85 @@
 import java.util.function.IntPredicate;
 
 /**
- * Who watches whom: all members stand on a few rings, on each in another order, and watch those
- * beside them. So each is watched by as many whatever the tier's size, all who know the same agree
- * on by whom, and whoever a member watches watches it. The rings together are an expander: news
- * over them is everywhere after few steps (Law, Siu 2003).
+ * Determines which members observe each other: all members are arranged on several rings, each in a
+ * different pseudo-random order, and observe their neighbours on them. The number of observers of a
+ * member does not depend on the size of the tier, all members that know the same membership compute
+ * the same rings, and observation is mutual. The union of the rings is an expander graph, so gossip
+ * along it reaches all members in few steps (Law, Siu 2003).
  *
- * <p>Where one that stands beside a member is in doubt itself, those beyond it watch as well, up to
- * the first that is not: when most have died at once, the others still find one another, and each
- * of the dead has six who can say so.
+ * <p>Where a neighbour is not healthy, the members beyond it observe as well, up to the first
+ * healthy one. So when most members fail at once the remaining ones still find one another, and
+ * each failed member has up to six healthy observers.
  */
 final class Rings {
-  /** With three each member has six others beside it, as Rapid has it for its observers. */
-  static final int RINGS = 3;
+  /** Three rings give each member six neighbours, as many as Rapid uses observers. */
+  static final int RING_COUNT = 3;
 
-  /** How far beyond others in doubt a member looks, on one ring in one direction. */
-  static final int FARTHEST = 8;
+  /** Maximum number of steps on one ring in one direction in search of a healthy member. */
+  static final int MAX_STEPS = 8;
 
-  private final int[][] order = new int[RINGS][];
-  private final Map<Integer, int[]> places = new HashMap<>();
+  private final int[][] membersByRing = new int[RING_COUNT][];
+  private final Map<Integer, int[]> positionsByMember = new HashMap<>();
 
-  /** Rings of these members. */
+  /** Arranges these members on the rings of the tier with this tag. */
   Rings(int tag, int[] members) {
-    for (int ring = 0; ring < RINGS; ring++) {
-      long salt = Mix.of(tag, ring);
+    for (int ring = 0; ring < RING_COUNT; ring++) {
+      long salt = Hashing.hash(tag, ring);
       long[] keyed = new long[members.length];
       for (int i = 0; i < members.length; i++) {
-        keyed[i] = Mix.of(salt, members[i]) & ~0xFFFFL | members[i];
+        keyed[i] = Hashing.hash(salt, members[i]) & ~0xFFFFL | members[i];
       }
       Arrays.sort(keyed);
-      order[ring] = new int[members.length];
+      membersByRing[ring] = new int[members.length];
       for (int i = 0; i < keyed.length; i++) {
-        order[ring][i] = (int) (keyed[i] & 0xFFFF);
-        places.computeIfAbsent(order[ring][i], number -> new int[RINGS])[ring] = i;
+        membersByRing[ring][i] = (int) (keyed[i] & 0xFFFF);
+        positionsByMember
+                .computeIfAbsent(membersByRing[ring][i], number -> new int[RING_COUNT])[ring] =
+            i;
       }
     }
   }
 
-  /** Those beside a member, each once, in ascending order; empty if it is on no ring. */
-  int[] beside(int number) {
-    return watched(number, other -> true);
+  /**
+   * Returns the direct neighbours of a member, without duplicates and in ascending order; empty if
+   * it is on no ring.
+   */
+  int[] neighbours(int number) {
+    return subjects(number, other -> true);
   }
 
   /**
-   * Those whom a member watches, each once, in ascending order: on each ring in each direction the
-   * first that is not in doubt, and those before it.
+   * Returns the members that a member observes, without duplicates and in ascending order: on each
+   * ring in each direction the first healthy one and those before it.
    */
-  int[] watched(int number, IntPredicate sound) {
-    return walk(number, sound, true);
+  int[] subjects(int number, IntPredicate healthy) {
+    return walk(number, healthy, true);
   }
 
-  /** Those who can judge a member: of each ring and direction the first that is not in doubt. */
-  int[] judges(int number, IntPredicate sound) {
-    return walk(number, sound, false);
+  /**
+   * Returns the observers that decide about a member: on each ring in each direction the first
+   * healthy one.
+   */
+  int[] observers(int number, IntPredicate healthy) {
+    return walk(number, healthy, false);
   }
 
-  private int[] walk(int number, IntPredicate sound, boolean onTheWay) {
-    int[] at = places.get(number);
-    int size = order[0].length;
-    if (at == null || size < 2) {
+  private int[] walk(int number, IntPredicate healthy, boolean includeSkipped) {
+    int[] positions = positionsByMember.get(number);
+    int size = membersByRing[0].length;
+    if (positions == null || size < 2) {
       return new int[0];
     }
     TreeSet<Integer> found = new TreeSet<>();
-    for (int ring = 0; ring < RINGS; ring++) {
+    for (int ring = 0; ring < RING_COUNT; ring++) {
       for (int step = -1; step <= 1; step += 2) {
-        for (int far = 1; far <= Math.min(FARTHEST, size - 1); far++) {
-          int other = order[ring][Math.floorMod(at[ring] + step * far, size)];
-          boolean is = sound.test(other);
-          if (is || onTheWay) {
+        for (int distance = 1; distance <= Math.min(MAX_STEPS, size - 1); distance++) {
+          int other = membersByRing[ring][Math.floorMod(positions[ring] + step * distance, size)];
+          boolean isHealthy = healthy.test(other);
+          if (isHealthy || includeSkipped) {
             found.add(other);
           }
-          if (is) {
+          if (isHealthy) {
             break;
           }
         }
--- a/src/main/java/beamspread/tier/Tier.java
+++ b/src/main/java/beamspread/tier/Tier.java
@@ -8,525 +8,562 @@
 import java.util.SplittableRandom;
 
 /**
- * One member's part in a tier's membership: who is there, and what part of it this process hears
- * and is heard by. Not for more than one thread. All times are nanoseconds of one clock that never
- * runs backwards; the same calls with the same seed do the same.
+ * One member of a tier: tracks which members are active and which of them this process reaches. Not
+ * thread-safe. All times are nanoseconds of one monotonic clock; the same calls with the same seed
+ * give the same results.
  *
- * <p>Each member beats to those beside it on the rings and is watched by them. Whoever misses a
- * member says so to all; when most of those beside it do, it is gone. A member that hears that it
- * is gone speaks anew of itself and is back.
+ * <p>Each member sends heartbeats to its neighbours on the rings and is observed by them. An
+ * observer that misses a member reports its suspicion to all members; when enough observers do, the
+ * member is declared gone. A member that learns that it was declared gone refutes this with a new
+ * revision of its record and is active again.
  */
 public final class Tier {
-  /** The largest datagram that is sent or taken, in bytes. */
-  public static final int LARGEST_DATAGRAM = Datagram.LARGEST;
+  /** Maximum size of a datagram that is sent or accepted, in bytes. */
+  public static final int MAX_DATAGRAM_BYTES = Datagram.MAX_BYTES;
 
-  /** An accusation that stands is said again after this, and forgotten after 2.5 times as long. */
-  private static final long RENEW_NANOS = 10_000_000_000L;
+  /** Interval at which this member repeats a report while the suspicion lasts. */
+  private static final long REPORT_RENEWAL_NANOS = 10_000_000_000L;
 
-  private static final long FORGET_NANOS = 25_000_000_000L;
+  /** Reports expire 2.5 renewal intervals after they were received. */
+  private static final long REPORT_EXPIRY_NANOS = 25_000_000_000L;
 
   private final TierSettings settings;
 
   private final TierActions actions;
   private final int self;
   private final int tag;
-  private final Identity identity;
-  private final Roster roster = new Roster();
-  private final Court court = new Court();
-  private final News news = new News();
-  private final Links links;
-  private final Ears ears;
+  private final LocalMember localMember;
+  private final MemberTable memberTable = new MemberTable();
+  private final FailureQuorum failureQuorum = new FailureQuorum();
+  private final GossipQueue gossip = new GossipQueue();
+  private final LinkTable links;
+  private final LocalHealth localHealth;
   private final TierCounts counts = new TierCounts();
-  private final Sender sender;
-  private final Comparison comparison;
-  private final Map<Integer, Accusation> mine = new HashMap<>();
-  private final Map<Integer, Long> saidAt = new HashMap<>();
+  private final DatagramSender sender;
+  private final AntiEntropy antiEntropy;
+  private final Map<Integer, SuspicionReport> ownReports = new HashMap<>();
+  private final Map<Integer, Long> reportedAt = new HashMap<>();
 
-  private int serial;
-  private int members;
+  private int lastReportSequence;
+  private int numberCount;
   private Rings rings;
-  private int[] nearest = new int[0];
-  private int[] beside = new int[0];
-  private boolean ringsOld = true;
-  private boolean courtOpen;
-  private long turnDue;
-  private long turns;
+  private int[] neighbours = new int[0];
+  private int[] subjects = new int[0];
+  private boolean ringsOutdated = true;
+  private boolean quorumCheckPending;
+  private long periodDueAt;
+  private long periods;
   private long version;
 
   /**
-   * A member that has just started.
+   * Creates a member that has just started.
    *
-   * @param self its number
-   * @param members how many numbers there are to be knocked at, its own counted
-   * @param startSeconds any clock's seconds at its start: higher for a later start where that clock
-   *     was not set back, and put right by what the others know where it was
+   * @param self the member's number
+   * @param numberCount how many member numbers there are, this member's included
+   * @param startSeconds seconds of any clock at the start of the process: higher for a later start.
+   *     If the clock was set back, the incarnation is corrected by what the other members know.
    */
   public Tier(
       TierSettings settings,
       int self,
-      int members,
-      Card card,
+      int numberCount,
+      MemberInfo info,
       long startSeconds,
       long seed,
       long now,
       TierActions actions) {
     this.settings = settings;
     this.self = self;
-    this.members = members;
+    this.numberCount = numberCount;
 
     this.actions = actions;
     this.tag = settings.tag();
-    this.links = new Links(settings);
-    this.ears = new Ears(settings);
+    this.links = new LinkTable(settings);
+    this.localHealth = new LocalHealth(settings);
     SplittableRandom random = new SplittableRandom(seed);
     long incarnation = (startSeconds & 0xFFFFFFFFL) << 16 | random.nextInt(1 << 16);
-    this.identity = new Identity(self, incarnation, now);
-    this.turnDue = now + (long) (random.nextDouble() * settings.intervalNanos());
-    this.sender = new Sender(settings, actions, random, identity, roster, links, news, counts, now);
-    this.comparison = new Comparison(settings, random, roster, sender, now);
-    sender.cards().put(self, card);
-    roster.take(now, identity.record());
+    this.localMember = new LocalMember(self, incarnation, now);
+    this.periodDueAt = now + (long) (random.nextDouble() * settings.intervalNanos());
+    this.sender =
+        new DatagramSender(
+            settings, actions, random, localMember, memberTable, links, gossip, counts, now);
+    this.antiEntropy = new AntiEntropy(settings, random, memberTable, sender, now);
+    sender.infoByMember().put(self, info);
+    memberTable.merge(now, localMember.record());
   }
 
-  /** When {@link #run} is to be called next. */
-  public long due() {
-    return Math.min(turnDue, sender.urgentAt());
+  /** Returns when {@link #run} is to be called next. */
+  public long nextRunAt() {
+    return Math.min(periodDueAt, sender.flushDueAt());
   }
 
-  /** There are so many numbers now. */
+  /** Sets how many member numbers there are. */
   public void resize(int count) {
-    members = Math.min(count, Roster.MOST_MEMBERS);
+    numberCount = Math.min(count, MemberTable.MAX_MEMBERS);
   }
 
-  /** Does what is due. */
+  /** Runs the protocol period if it is due, and sends the gossip that is due. */
   public void run(long now) {
-    sender.refill(now);
-    if (identity.superseded() || identity.hasLeft()) {
-      turnDue = now + settings.intervalNanos();
-      sender.rest();
+    sender.refillBudget(now);
+    if (localMember.superseded() || localMember.hasLeft()) {
+      periodDueAt = now + settings.intervalNanos();
+      sender.cancelFlush();
       return;
     }
-    boolean turn = now >= turnDue;
-    if (turn) {
-      turn(now);
+    boolean periodDue = now >= periodDueAt;
+    if (periodDue) {
+      runPeriod(now);
     }
-    if (courtOpen) {
-      judge(now);
+    if (quorumCheckPending) {
+      checkQuorums(now);
     }
-    if (turn) {
-      sender.beats(now, turns, beside, members);
-      comparison.compare(now);
-    } else if (now >= sender.urgentAt()) {
-      sender.flush(now, beside);
+    if (periodDue) {
+      sender.sendHeartbeats(now, periods, subjects, numberCount);
+      antiEntropy.compareIfDue(now);
+    } else if (now >= sender.flushDueAt()) {
+      sender.flushGossip(now, subjects);
     }
   }
 
-  private void turn(long now) {
-    turns++;
-    if (ears.turn(now, turnDue) > 0) {
-      counts.stood();
-      links.stood(now);
+  private void runPeriod(long now) {
+    periods++;
+    if (localHealth.recordPeriod(now, periodDueAt) > 0) {
+      counts.recordStall();
+      links.recordStall(now);
     }
-    // From now on, not from when it was due: after a stand the turns missed are not made up for.
-    turnDue = Math.max(turnDue + settings.intervalNanos(), now + settings.intervalNanos() / 2);
+    // Scheduled from now, not from the due time: periods missed during a stall are not made up for.
+    periodDueAt =
+        Math.max(periodDueAt + settings.intervalNanos(), now + settings.intervalNanos() / 2);
     refreshRings(now);
-    refreshWatched(now);
-    listen(now);
-    say(now);
-    watch(now);
-    court.expire(now - FORGET_NANOS);
-    courtOpen = true;
-    if (turns % 64 == 0) {
-      forget(now);
+    refreshSubjects(now);
+    updateLocalHealth(now);
+    updateOwnState(now);
+    updateReports(now);
+    failureQuorum.expireReports(now - REPORT_EXPIRY_NANOS);
+    quorumCheckPending = true;
+    if (periods % 64 == 0) {
+      removeExpiredRecords(now);
     }
   }
 
   private void refreshRings(long now) {
-    if (!ringsOld) {
+    if (!ringsOutdated) {
       return;
     }
-    ringsOld = false;
-    rings = new Rings(tag, roster.hereNumbers());
-    refreshWatched(now);
+    ringsOutdated = false;
+    rings = new Rings(tag, memberTable.activeNumbers());
+    refreshSubjects(now);
   }
 
-  private void refreshWatched(long now) {
-    nearest = rings.beside(self);
-    beside = rings.watched(self, number -> sound(number) && !links.silent(now, number));
-    links.each(
+  private void refreshSubjects(long now) {
+    neighbours = rings.neighbours(self);
+    subjects = rings.subjects(self, number -> isHealthy(number) && !links.isSilent(now, number));
+    links.forEach(
         link -> {
-          if (!isBeside(link.getKey())) {
-            link.getValue().unwatch();
+          if (!isSubject(link.getKey())) {
+            link.getValue().stopObserving();
           }
         });
-    for (int number : beside) {
-      links.to(number).watch(now);
+    for (int number : subjects) {
+      links.getOrCreate(number).startObserving(now);
     }
   }
 
-  /** Whether nothing speaks against a member: it is well, and nobody misses it. */
-  private boolean sound(int number) {
-    MemberRecord of = roster.of(number);
-    return of != null && of.state() == MemberState.ALIVE && court.accusers(number).length == 0;
+  /** Returns whether a member reports itself as alive and nobody suspects it. */
+  private boolean isHealthy(int number) {
+    MemberRecord record = memberTable.find(number);
+    return record != null
+        && record.state() == MemberState.ALIVE
+        && failureQuorum.reporters(number).length == 0;
   }
 
-  private void listen(long now) {
+  private void updateLocalHealth(long now) {
     int heard = 0;
     int bothWays = 0;
-    for (int number : beside) {
-      bothWays += !links.silent(now, number) && links.hearsUs(now, number) ? 1 : 0;
+    for (int number : subjects) {
+      bothWays += !links.isSilent(now, number) && links.isHeardBy(now, number) ? 1 : 0;
     }
-    for (int number : nearest) {
-      heard += links.silent(now, number) ? 0 : 1;
+    for (int number : neighbours) {
+      heard += links.isSilent(now, number) ? 0 : 1;
     }
-    ears.hear(now, nearest.length, heard, bothWays);
+    localHealth.recordNeighbours(now, neighbours.length, heard, bothWays);
   }
 
-  /** Says anew what this process is, where that has changed. */
-  private void say(long now) {
-    if (identity.become(now, ears.state(now))) {
-      speak(now, "it says so itself");
+  /** Publishes this process's state if it has changed. */
+  private void updateOwnState(long now) {
+    if (localMember.changeState(now, localHealth.state(now))) {
+      publishOwnRecord(now, "reported by itself");
     }
   }
 
-  /** Speaks anew of itself: all that was said of it before is settled. */
-  private void speak(long now, String why) {
-    identity.beginLife();
-    MemberRecord before = roster.of(self);
-    MemberRecord own = identity.record();
-    if (roster.take(now, own)) {
-      court.acquit(self);
-      tell(now, own);
-      changed(before, own, why);
+  /**
+   * Publishes a new revision of this member's record, which makes earlier reports about it
+   * obsolete.
+   */
+  private void publishOwnRecord(long now, String reason) {
+    localMember.startNextRevision();
+    MemberRecord previous = memberTable.find(self);
+    MemberRecord own = localMember.record();
+    if (memberTable.merge(now, own)) {
+      failureQuorum.clearSubject(self);
+      gossipRecord(now, own);
+      notifyChange(previous, own, reason);
     }
   }
 
-  private void tell(long now, MemberRecord record) {
-    news.of(record, nearest.length);
-    sender.hurry(now);
+  private void gossipRecord(long now, MemberRecord record) {
+    gossip.enqueue(record, neighbours.length);
+    sender.scheduleFlush(now);
   }
 
-  private void changed(MemberRecord before, MemberRecord after, String why) {
+  private void notifyChange(MemberRecord before, MemberRecord after, String reason) {
     version++;
-    counts.changed();
-    actions.changed(before, after, why);
-  }
-
-  /** Accuses neighbours that are silent, and takes back what holds no more. */
-  private void watch(long now) {
-    for (int number : beside) {
-      Accusation said = mine.get(number);
-      if (links.silent(now, number) && ears.mayAccuse(now)) {
-        MemberRecord of = roster.of(number);
-        if (said == null || !said.about(of) || now - saidAt.get(number) >= RENEW_NANOS) {
-          accuse(now, of, true);
+    counts.recordChange();
+    actions.memberChanged(before, after, reason);
+  }
+
+  /** Reports silent members, and withdraws reports that no longer apply. */
+  private void updateReports(long now) {
+    for (int number : subjects) {
+      SuspicionReport report = ownReports.get(number);
+      if (links.isSilent(now, number) && localHealth.maySuspectOthers(now)) {
+        MemberRecord record = memberTable.find(number);
+        if (report == null
+            || !report.concerns(record)
+            || now - reportedAt.get(number) >= REPORT_RENEWAL_NANOS) {
+          reportSuspicion(now, record, true);
         }
-      } else if (said != null && links.to(number).silence(now) < 2 * settings.intervalNanos()) {
-        accuse(now, roster.of(number), false);
+      } else if (report != null
+          && links.getOrCreate(number).silenceNanos(now) < 2 * settings.intervalNanos()) {
+        reportSuspicion(now, memberTable.find(number), false);
       }
     }
-    for (int number : List.copyOf(mine.keySet())) {
-      if (!isBeside(number)) {
-        MemberRecord of = roster.of(number);
-        if (of != null && of.state().here()) {
-          accuse(now, of, false);
+    for (int number : List.copyOf(ownReports.keySet())) {
+      if (!isSubject(number)) {
+        MemberRecord record = memberTable.find(number);
+        if (record != null && record.state().isActive()) {
+          reportSuspicion(now, record, false);
         } else {
-          mine.remove(number);
+          ownReports.remove(number);
         }
       }
     }
   }
 
-  private void accuse(long now, MemberRecord of, boolean silent) {
-    serial = serial + 1 & 0xFFFF;
-    Accusation said = new Accusation(of.number(), Accusation.check(of), self, serial, silent);
-    if (silent) {
-      mine.put(of.number(), said);
-      saidAt.put(of.number(), now);
+  private void reportSuspicion(long now, MemberRecord record, boolean suspected) {
+    lastReportSequence = lastReportSequence + 1 & 0xFFFF;
+    SuspicionReport report =
+        new SuspicionReport(
+            record.number(),
+            SuspicionReport.revisionHash(record),
+            self,
+            lastReportSequence,
+            suspected);
+    if (suspected) {
+      ownReports.put(record.number(), report);
+      reportedAt.put(record.number(), now);
     } else {
-      mine.remove(of.number());
-      saidAt.remove(of.number());
+      ownReports.remove(record.number());
+      reportedAt.remove(record.number());
     }
-    if (court.take(now, said)) {
-      news.of(said, nearest.length);
-      sender.hurry(now);
-      courtOpen = true;
+    if (failureQuorum.recordReport(now, report)) {
+      gossip.enqueue(report, neighbours.length);
+      sender.scheduleFlush(now);
+      quorumCheckPending = true;
     }
   }
 
-  private void judge(long now) {
-    courtOpen = false;
+  private void checkQuorums(long now) {
+    quorumCheckPending = false;
     refreshRings(now);
-    for (int subject : court.accused()) {
-      MemberRecord of = roster.of(subject);
-      if (subject == self || of == null || !of.state().here()) {
+    for (int subject : failureQuorum.suspects()) {
+      MemberRecord record = memberTable.find(subject);
+      if (subject == self || record == null || !record.state().isActive()) {
         continue;
       }
-      if (court.gone(subject, rings.judges(subject, this::sound), roster.here() == 2)) {
+      if (failureQuorum.isGone(
+          subject, rings.observers(subject, this::isHealthy), memberTable.activeCount() == 2)) {
         MemberRecord gone =
-            new MemberRecord(subject, of.incarnation(), of.life(), MemberState.GONE);
-        take(now, gone, "missed by " + words(court.accusers(subject)));
-        // Its watchers watch others from now on.
+            new MemberRecord(subject, record.incarnation(), record.revision(), MemberState.GONE);
+        apply(now, gone, "suspected by " + joinNumbers(failureQuorum.reporters(subject)));
+        // The observers of the removed member get other subjects.
         refreshRings(now);
       }
     }
   }
 
-  private static String words(int[] numbers) {
+  private static String joinNumbers(int[] numbers) {
     return String.join(", ", Arrays.stream(numbers).mapToObj(Integer::toString).toList());
   }
 
-  /** Takes a record if it is newer than what is known. */
-  private void take(long now, MemberRecord record, String why) {
+  /** Applies a record if it is newer than the known one. */
+  private void apply(long now, MemberRecord record, String reason) {
     if (record.number() == self) {
-      defend(now, record);
+      refute(now, record);
       return;
     }
-    MemberRecord before = roster.of(record.number());
-    if (!roster.take(now, record)) {
+    MemberRecord previous = memberTable.find(record.number());
+    if (!memberTable.merge(now, record)) {
       return;
     }
     int number = record.number();
-    boolean anew = before == null || before.incarnation() != record.incarnation();
-    if (anew || before.life() != record.life() || !record.state().here()) {
-      court.acquit(number);
-    }
-    if (anew) {
-      sender.cards().remove(number);
-      court.silence(number);
-      if (before != null) {
-        links.to(number).restart(now);
+    boolean newIncarnation = previous == null || previous.incarnation() != record.incarnation();
+    if (newIncarnation || previous.revision() != record.revision() || !record.state().isActive()) {
+      failureQuorum.clearSubject(number);
+    }
+    if (newIncarnation) {
+      sender.infoByMember().remove(number);
+      failureQuorum.removeReporter(number);
+      if (previous != null) {
+        links.getOrCreate(number).recordPeerRestart(now);
       }
     }
-    if (!record.state().here()) {
-      court.silence(number);
-      mine.remove(number);
+    if (!record.state().isActive()) {
+      failureQuorum.removeReporter(number);
+      ownReports.remove(number);
     }
-    if (before == null || before.state().here() != record.state().here()) {
-      ringsOld = true;
+    if (previous == null || previous.state().isActive() != record.state().isActive()) {
+      ringsOutdated = true;
     }
-    tell(now, record);
-    changed(before, record, why);
+    gossipRecord(now, record);
+    notifyChange(previous, record, reason);
   }
 
-  /** Something is said of this very member. */
-  private void defend(long now, MemberRecord said) {
-    MemberRecord before = identity.record();
-    Identity.Answer answer = identity.defend(now, said);
-    if (answer.speaks()) {
-      speak(now, answer.why());
-    } else if (answer == Identity.Answer.SUPERSEDED) {
-      changed(before, said, answer.why());
+  /** Responds to a record about this member. */
+  private void refute(long now, MemberRecord claim) {
+    MemberRecord previous = localMember.record();
+    LocalMember.Refutation refutation = localMember.refute(now, claim);
+    if (refutation.republishes()) {
+      publishOwnRecord(now, refutation.reason());
+    } else if (refutation == LocalMember.Refutation.SUPERSEDED) {
+      notifyChange(previous, claim, refutation.reason());
     }
   }
 
-  private boolean isBeside(int number) {
-    return Arrays.binarySearch(beside, number) >= 0;
+  private boolean isSubject(int number) {
+    return Arrays.binarySearch(subjects, number) >= 0;
   }
 
   /**
-   * A datagram has come.
+   * Handles a received datagram.
    *
-   * @param from the number of the member whose address it came from; negative if it is nobody's
+   * @param from number of the member whose address it came from; negative if it is no member's
    */
-  public void received(long now, int from, byte[] bytes) {
-    if (identity.hasLeft()) {
+  public void receive(long now, int from, byte[] bytes) {
+    if (localMember.hasLeft()) {
       return;
     }
     Datagram datagram;
     try {
-      datagram = Datagram.read(bytes, tag);
-      if (from < 0 || datagram.own().number() != from || from == self) {
-        throw new Datagram.WrongException(Datagram.Wrong.MISPLACED);
+      datagram = Datagram.decode(bytes, tag);
+      if (from < 0 || datagram.senderRecord().number() != from || from == self) {
+        throw new Datagram.InvalidDatagramException(Datagram.RejectReason.MISPLACED);
       }
-      MemberRecord known = roster.of(from);
-      if (known != null && datagram.own().incarnation() < known.incarnation()) {
-        // A process that does not know of its successor, or one whose clock was set back.
-        sender.owe(from, -1);
+      MemberRecord known = memberTable.find(from);
+      if (known != null && datagram.senderRecord().incarnation() < known.incarnation()) {
+        // Either an older process that does not know of its successor, or one whose clock was set
+        // back.
+        sender.scheduleReply(from, -1);
         sender.sendRecord(now, from, known);
-        throw new Datagram.WrongException(Datagram.Wrong.PAST);
+        throw new Datagram.InvalidDatagramException(Datagram.RejectReason.PAST);
       }
-    } catch (Datagram.WrongException e) {
-      counts.wrong(e.why());
+    } catch (Datagram.InvalidDatagramException e) {
+      counts.rejected(e.reason());
       return;
     }
-    counts.received();
-    take(now, datagram.own(), "it says so itself");
-    Edge edge = links.to(from);
-    edge.heard(now, datagram.seq());
-    if (datagram.echoAgeNanos() != Datagram.NEVER && edge.hasSent(datagram.echo())) {
-      edge.heardBy(now - datagram.echoAgeNanos());
+    counts.recordReceived();
+    apply(now, datagram.senderRecord(), "reported by itself");
+    Link link = links.getOrCreate(from);
+    link.recordReceived(now, datagram.seq());
+    if (datagram.echoAgeNanos() != Datagram.NEVER && link.hasSent(datagram.echo())) {
+      link.recordEcho(now - datagram.echoAgeNanos());
     }
     for (Datagram.Item item : datagram.items()) {
-      take(now, from, item);
+      apply(now, from, item);
     }
-    MemberRecord known = roster.of(from);
-    if (known != null && !known.state().here()) {
-      // It is there after all: told so, it can speak anew of itself.
+    MemberRecord known = memberTable.find(from);
+    if (known != null && !known.state().isActive()) {
+      // The member is active after all: with this record it can refute its removal.
       sender.sendRecord(now, from, known);
     } else if (datagram.kind() == Datagram.Kind.KNOCK) {
-      sender.beat(now, from, Datagram.Kind.ANSWER, -1);
-    } else if (datagram.kind() == Datagram.Kind.BEAT && !isBeside(from)) {
-      sender.owe(from, -1);
+      sender.sendWithGossip(now, from, Datagram.Kind.ANSWER, -1);
+    } else if (datagram.kind() == Datagram.Kind.BEAT && !isSubject(from)) {
+      sender.scheduleReply(from, -1);
     }
-    if (datagram.digest() != roster.digest()) {
-      comparison.differsFrom(from);
+    if (datagram.digest() != memberTable.digest()) {
+      antiEntropy.recordDigestMismatch(from);
     }
   }
 
-  private void take(long now, int from, Datagram.Item item) {
-    if (item instanceof Datagram.Told told) {
-      if (told.record().number() < Roster.MOST_MEMBERS) {
-        take(now, told.record(), "told by " + from);
+  private void apply(long now, int from, Datagram.Item item) {
+    if (item instanceof Datagram.RecordItem recordItem) {
+      if (recordItem.record().number() < MemberTable.MAX_MEMBERS) {
+        apply(now, recordItem.record(), "reported by " + from);
       }
-    } else if (item instanceof Datagram.Accused accused) {
-      take(now, accused.accusation());
-    } else if (item instanceof Datagram.Shown shown) {
-      MemberRecord of = roster.of(shown.number());
-      if (of != null && of.incarnation() == shown.incarnation() && shown.number() != self) {
-        sender.cards().put(shown.number(), shown.card());
+    } else if (item instanceof Datagram.SuspicionItem suspicionItem) {
+      apply(now, suspicionItem.report());
+    } else if (item instanceof Datagram.MemberInfoItem infoItem) {
+      MemberRecord subjectRecord = memberTable.find(infoItem.number());
+      if (subjectRecord != null
+          && subjectRecord.incarnation() == infoItem.incarnation()
+          && infoItem.number() != self) {
+        sender.infoByMember().put(infoItem.number(), infoItem.info());
       }
-    } else if (item instanceof Datagram.CardWanted wanted) {
-      if (sender.cards().containsKey(wanted.number())) {
-        sender.owe(from, wanted.number());
+    } else if (item instanceof Datagram.MemberInfoRequest infoRequest) {
+      if (sender.infoByMember().containsKey(infoRequest.number())) {
+        sender.scheduleReply(from, infoRequest.number());
       }
-    } else if (item instanceof Datagram.Sums sums) {
-      comparison.answer(now, from, sums.sums());
+    } else if (item instanceof Datagram.BucketDigests digests) {
+      antiEntropy.sendDifferences(now, from, digests.digests());
     }
   }
 
-  private void take(long now, Accusation said) {
-    MemberRecord of = roster.of(said.subject());
-    MemberRecord by = roster.of(said.accuser());
-    boolean holds =
-        of != null
-            && of.state().here()
-            && said.about(of)
-            && by != null
-            && by.state().here()
-            && said.accuser() != self
-            && said.accuser() != said.subject();
-    if (holds && court.take(now, said)) {
-      news.of(said, nearest.length);
-      sender.hurry(now);
-      courtOpen = true;
+  private void apply(long now, SuspicionReport report) {
+    MemberRecord subjectRecord = memberTable.find(report.subject());
+    MemberRecord reporterRecord = memberTable.find(report.reporter());
+    boolean valid =
+        subjectRecord != null
+            && subjectRecord.state().isActive()
+            && report.concerns(subjectRecord)
+            && reporterRecord != null
+            && reporterRecord.state().isActive()
+            && report.reporter() != self
+            && report.reporter() != report.subject();
+    if (valid && failureQuorum.recordReport(now, report)) {
+      gossip.enqueue(report, neighbours.length);
+      sender.scheduleFlush(now);
+      quorumCheckPending = true;
     }
   }
 
-  private void forget(long now) {
-    List<Integer> over = new ArrayList<>();
-    roster.each(
+  private void removeExpiredRecords(long now) {
+    List<Integer> expired = new ArrayList<>();
+    memberTable.forEach(
         record -> {
-          if (!record.state().here()
-              && now - roster.since(record.number()) > settings.rememberNanos()) {
-            over.add(record.number());
+          if (!record.state().isActive()
+              && now - memberTable.stateSince(record.number()) > settings.rememberNanos()) {
+            expired.add(record.number());
           }
         });
-    for (int number : over) {
-      roster.forget(number);
-      sender.cards().remove(number);
-      links.forget(number);
-      court.acquit(number);
+    for (int number : expired) {
+      memberTable.remove(number);
+      sender.infoByMember().remove(number);
+      links.remove(number);
+      failureQuorum.clearSubject(number);
     }
   }
 
-  /** This process ends on purpose: all are told at once, and nothing is done any more. */
+  /** Leaves the tier deliberately: announces it at once, after which nothing more is done. */
   public void leave(long now) {
-    if (identity.superseded() || identity.hasLeft()) {
+    if (localMember.superseded() || localMember.hasLeft()) {
       return;
     }
-    identity.leave();
-    roster.take(now, identity.record());
-    List<Integer> told = new ArrayList<>();
-    for (int number : beside) {
-      told.add(number);
-    }
-    for (int i = 0; i < 2 * Rings.RINGS; i++) {
-      int other = sender.anyHereBut(told.stream().mapToInt(Integer::intValue).toArray());
-      if (other >= 0) {
-        told.add(other);
+    localMember.leave();
+    memberTable.merge(now, localMember.record());
+    List<Integer> receivers = new ArrayList<>();
+    for (int number : subjects) {
+      receivers.add(number);
+    }
+    for (int i = 0; i < 2 * Rings.RING_COUNT; i++) {
+      int receiver =
+          sender.randomActiveMemberExcept(receivers.stream().mapToInt(Integer::intValue).toArray());
+      if (receiver >= 0) {
+        receivers.add(receiver);
       }
     }
-    // Twice, since each may be lost.
+    // Sent twice, since each datagram may be lost.
     for (int i = 0; i < 2; i++) {
-      told.forEach(number -> sender.send(now, number, Datagram.Kind.BEAT, List.of()));
+      receivers.forEach(number -> sender.send(now, number, Datagram.Kind.BEAT, List.of()));
     }
   }
 
-  /** What has been sent and taken. */
+  /** Returns the counts of datagrams and changes. */
   public TierCounts counts() {
     return counts;
   }
 
-  /** Whether another process has taken its number, and this one is silent. */
+  /**
+   * Returns whether another process has taken the member's number, so that this one sends nothing.
+   */
   public boolean superseded() {
-    return identity.superseded();
+    return localMember.superseded();
   }
 
-  /** What it says of itself. */
+  /** Returns this member's own record. */
   public MemberRecord self() {
-    return identity.record();
+    return localMember.record();
   }
 
-  /** What part of the tier this process hears and is heard by. */
-  public TierView.Connected connected(long now) {
+  /** Estimates which part of the tier this process hears and is heard by. */
+  public TierView.Connectivity connectivity(long now) {
     int heard = 0;
     int heardBy = 0;
-    int both = 0;
-    for (int number : nearest) {
-      boolean hears = !links.silent(now, number);
-      boolean heardByIt = links.hearsUs(now, number);
-      heard += hears ? 1 : 0;
-      heardBy += heardByIt ? 1 : 0;
-      both += hears && heardByIt ? 1 : 0;
+    int bothWays = 0;
+    for (int number : neighbours) {
+      boolean isHeard = !links.isSilent(now, number);
+      boolean isHeardByOther = links.isHeardBy(now, number);
+      heard += isHeard ? 1 : 0;
+      heardBy += isHeardByOther ? 1 : 0;
+      bothWays += isHeard && isHeardByOther ? 1 : 0;
     }
-    int of = Math.max(1, roster.counted());
-    int others = Math.max(0, roster.here() - 1);
-    return new TierView.Connected(
-        part(heard, others, of), part(heardBy, others, of), part(both, others, of), of);
+    int memberCount = Math.max(1, memberTable.notLeftCount());
+    int others = Math.max(0, memberTable.activeCount() - 1);
+    return new TierView.Connectivity(
+        estimatedShare(heard, others, memberCount),
+        estimatedShare(heardBy, others, memberCount),
+        estimatedShare(bothWays, others, memberCount),
+        memberCount);
   }
 
-  private double part(int count, int others, int of) {
-    double share = nearest.length == 0 ? 0 : (double) count / nearest.length;
-    return (1 + others * share) / of;
+  private double estimatedShare(int count, int others, int memberCount) {
+    double share = neighbours.length == 0 ? 0 : (double) count / neighbours.length;
+    return (1 + others * share) / memberCount;
   }
 
-  /** The tier as this process sees it. */
+  /** Returns the tier as this process sees it. */
   public TierView view(long now) {
-    List<TierView.Seen> seen = new ArrayList<>();
-    boolean sure = ears.mayAccuse(now);
-    roster.each(
+    List<TierView.MemberView> memberViews = new ArrayList<>();
+    boolean maySuspect = localHealth.maySuspectOthers(now);
+    memberTable.forEach(
         record -> {
           int number = record.number();
-          Edge edge = links.known(number);
-          int[] missedBy = court.accusers(number);
-          double doubt = (double) missedBy.length / Court.needed(Math.max(1, nearest.length));
-          double confidence = record.state().here() ? Math.max(0, 1 - doubt) : 1;
-          seen.add(
-              new TierView.Seen(
+          Link link = links.find(number);
+          int[] missedBy = failureQuorum.reporters(number);
+          double doubt =
+              (double) missedBy.length / FailureQuorum.quorumSize(Math.max(1, neighbours.length));
+          double confidence = record.state().isActive() ? Math.max(0, 1 - doubt) : 1;
+          memberViews.add(
+              new TierView.MemberView(
                   record,
-                  sender.cards().get(number),
-                  now - roster.since(number),
-                  edge == null || edge.heardAt() == Edge.NEVER ? -1 : now - edge.heardAt(),
+                  sender.infoByMember().get(number),
+                  now - memberTable.stateSince(number),
+                  link == null || link.lastReceivedAt() == Link.NEVER
+                      ? -1
+                      : now - link.lastReceivedAt(),
                   Arrays.stream(missedBy).boxed().toList(),
-                  sure || number == self ? confidence : confidence / 2));
+                  maySuspect || number == self ? confidence : confidence / 2));
         });
     return new TierView(
-        version, roster.digest(), self, identity.state(), connected(now), List.copyOf(seen));
+        version,
+        memberTable.digest(),
+        self,
+        localMember.state(),
+        connectivity(now),
+        List.copyOf(memberViews));
   }
 
-  /** What is known of a member; null for nothing. */
+  /** Returns the record of a member; null if there is none. */
   public MemberRecord member(int number) {
-    return roster.of(number);
+    return memberTable.find(number);
   }
 
-  /** How many members take part, as far as is known. */
-  public int here() {
-    return roster.here();
+  /** Returns the number of active members, as far as known. */
+  public int activeCount() {
+    return memberTable.activeCount();
   }
 
-  /** The same at all members that know the same. */
+  /** Returns the digest of all records, which is equal at members that have the same records. */
   public int digest() {
-    return roster.digest();
+    return memberTable.digest();
   }
 }
--- a/src/main/java/beamspread/tier/TierActions.java
+++ b/src/main/java/beamspread/tier/TierActions.java
@@ -1,15 +1,15 @@
 package beamspread.tier;
 
-/** What a tier wants done. */
+/** Actions and events of a tier that its user carries out or handles. */
 public interface TierActions {
-  /** Sends a datagram of at most 256 bytes to the member of this number. */
+  /** Sends a datagram of at most 256 bytes to the member with this number. */
   void send(int number, byte[] datagram);
 
   /**
-   * What is known of a member has changed.
+   * Called when the record of a member has changed.
    *
-   * @param before null if nothing was known
-   * @param why in words: who says so, and of what age
+   * @param before the previous record; null if there was none
+   * @param reason reason and source of the change, as text for the log
    */
-  void changed(MemberRecord before, MemberRecord after, String why);
+  void memberChanged(MemberRecord before, MemberRecord after, String reason);
 }
--- a/src/main/java/beamspread/tier/TierCounts.java
+++ b/src/main/java/beamspread/tier/TierCounts.java
@@ -3,64 +3,67 @@
 import java.util.EnumMap;
 import java.util.Map;
 
-/** What a tier has sent, taken and turned down, since its start. */
+/** Counts of a tier since its start: datagrams sent, accepted and rejected, changes and stalls. */
 public final class TierCounts {
-  private final Map<Datagram.Wrong, Long> wrong = new EnumMap<>(Datagram.Wrong.class);
+  private final Map<Datagram.RejectReason, Long> rejectedByReason =
+      new EnumMap<>(Datagram.RejectReason.class);
   private long sent;
   private long sentBytes;
   private long received;
   private long changes;
-  private long stands;
+  private long stalls;
 
-  void sent(int bytes) {
+  void recordSent(int bytes) {
     sent++;
     sentBytes += bytes;
   }
 
-  void received() {
+  void recordReceived() {
     received++;
   }
 
-  void wrong(Datagram.Wrong why) {
-    wrong.merge(why, 1L, Long::sum);
+  void rejected(Datagram.RejectReason reason) {
+    rejectedByReason.merge(reason, 1L, Long::sum);
   }
 
-  void changed() {
+  void recordChange() {
     changes++;
   }
 
-  void stood() {
-    stands++;
+  void recordStall() {
+    stalls++;
   }
 
-  /** Datagrams sent. */
+  /** Returns the number of datagrams sent. */
   public long sentDatagrams() {
     return sent;
   }
 
-  /** Their bytes, without the headers of UDP and IP. */
+  /** Returns the bytes of the datagrams sent, without UDP and IP headers. */
   public long sentBytes() {
     return sentBytes;
   }
 
-  /** Datagrams taken. */
+  /** Returns the number of datagrams accepted. */
   public long receivedDatagrams() {
     return received;
   }
 
-  /** Records that changed. */
+  /** Returns how often a record changed. */
   public long changes() {
     return changes;
   }
 
-  /** Times that this process stood still. */
-  public long stands() {
-    return stands;
+  /** Returns how often this process stalled. */
+  public long stalls() {
+    return stalls;
   }
 
-  /** Datagrams that were not taken, by reason: malformed, foreign, misplaced, past. */
-  public long wrong(String reason) {
-    return wrong.getOrDefault(
-        Datagram.Wrong.valueOf(reason.toUpperCase(java.util.Locale.ROOT)), 0L);
+  /**
+   * Returns the number of datagrams rejected for a reason: malformed, foreign, misplaced or past.
+   */
+  public long rejected(String reason) {
+    return rejectedByReason.getOrDefault(
+        Datagram.RejectReason.valueOf(reason.toUpperCase(java.util.Locale.ROOT)), 0L);
   }
 }
--- a/src/main/java/beamspread/tier/TierSettings.java
+++ b/src/main/java/beamspread/tier/TierSettings.java
@@ -1,16 +1,16 @@
 package beamspread.tier;
 
 /**
- * How a tier watches itself. Members of one tier should have the same.
+ * Settings of a tier's failure detector and gossip. All members of a tier should have the same.
  *
- * @param name of the tier; datagrams of another are not taken
- * @param intervalNanos between two beats to each neighbour
- * @param silenceNanos for how long a neighbour may be silent on a link without losses
- * @param lateNanos how much later than meant a turn may come before this process doubts itself
- * @param doubtNanos how long this process waits before it blames most of its neighbours at once
- * @param rememberNanos how long a member that is gone counts as one that may come back
- * @param bytesPerSecond what it sends at most, on average
- * @param burstBytes what it may send beyond that when much happens at once
+ * @param name of the tier; datagrams of other tiers are rejected
+ * @param intervalNanos protocol period, between two heartbeats to each neighbour
+ * @param silenceNanos how long a neighbour may be silent on a link without losses
+ * @param lateNanos how late a protocol period may start before this process counts as stalled
+ * @param doubtNanos how long this process waits before it suspects most of its neighbours at once
+ * @param rememberNanos how long the record of a member that is gone is kept
+ * @param bytesPerSecond maximum average rate of bytes sent
+ * @param burstBytes how many bytes may be sent above that rate in a burst
  */
 public record TierSettings(
     String name,
@@ -22,39 +22,47 @@
     int bytesPerSecond,
     int burstBytes) {
 
-  private static final long MILLI = 1_000_000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
 
   /**
-   * @throws IllegalArgumentException if a figure makes no sense, naming it
+   * Checks the settings.
+   *
+   * @throws IllegalArgumentException if a value is out of range, naming it
    */
   public TierSettings {
-    check(!name.isBlank() && name.length() <= 64, "name must have 1 to 64 letters");
-    check(intervalNanos >= 20 * MILLI, "interval must be 0.02 s at least");
-    check(intervalNanos <= 10_000 * MILLI, "interval must be 10 s at most");
-    check(silenceNanos >= 3 * intervalNanos, "silence must be three intervals at least");
-    check(silenceNanos <= 60_000 * MILLI, "silence must be 60 s at most");
-    check(lateNanos >= 10 * MILLI, "late must be 0.01 s at least");
+    check(!name.isBlank() && name.length() <= 64, "name must have 1 to 64 characters");
+    check(intervalNanos >= 20 * NANOS_PER_MILLI, "interval must be at least 0.02 s");
+    check(intervalNanos <= 10_000 * NANOS_PER_MILLI, "interval must be at most 10 s");
+    check(silenceNanos >= 3 * intervalNanos, "silence must be at least three intervals");
+    check(silenceNanos <= 60_000 * NANOS_PER_MILLI, "silence must be at most 60 s");
+    check(lateNanos >= 10 * NANOS_PER_MILLI, "late must be at least 0.01 s");
     check(doubtNanos >= 0, "doubt must not be negative");
-    check(rememberNanos >= silenceNanos, "remember must be as long as silence at least");
-    check(bytesPerSecond >= 500, "bytes must be 500 a second at least");
-    check(
-        burstBytes >= 4 * Datagram.LARGEST, "burst must be " + 4 * Datagram.LARGEST + " at least");
+    check(rememberNanos >= silenceNanos, "remember must be at least as long as silence");
+    check(bytesPerSecond >= 500, "bytes must be at least 500 per second");
+    check(burstBytes >= 4 * Datagram.MAX_BYTES, "burst must be at least " + 4 * Datagram.MAX_BYTES);
   }
 
-  private static void check(boolean holds, String problem) {
-    if (!holds) {
+  private static void check(boolean valid, String problem) {
+    if (!valid) {
       throw new IllegalArgumentException(problem);
     }
   }
 
-  /** What is meant for a network within one region. */
-  public static TierSettings usual(String name) {
+  /** Returns the defaults, for a network within one region. */
+  public static TierSettings defaults(String name) {
     return new TierSettings(
-        name, 250 * MILLI, 1600 * MILLI, 250 * MILLI, 3000 * MILLI, 600_000 * MILLI, 2000, 32_000);
+        name,
+        250 * NANOS_PER_MILLI,
+        1600 * NANOS_PER_MILLI,
+        250 * NANOS_PER_MILLI,
+        3000 * NANOS_PER_MILLI,
+        600_000 * NANOS_PER_MILLI,
+        2000,
+        32_000);
   }
 
-  /** Tells datagrams of this tier from those of others. */
+  /** Returns the tag that distinguishes datagrams of this tier from those of others. */
   int tag() {
-    return Mix.of(name);
+    return Hashing.hash(name);
   }
 }
--- a/src/main/java/beamspread/tier/TierView.java
+++ b/src/main/java/beamspread/tier/TierView.java
@@ -3,51 +3,54 @@
 import java.util.List;
 
 /**
- * A tier as one member sees it at a time.
+ * A tier as one member sees it at one time.
  *
- * @param version higher for a later view of the same process
- * @param digest the same at all members that see the same
- * @param self number of the member that sees it
- * @param standing what it says of itself
- * @param connected what part of the tier it hears and is heard by
+ * @param version increases with each change that the process sees
+ * @param digest equal at all members that have the same records
+ * @param self number of the member that has this view
+ * @param selfState the state that this member reports of itself
+ * @param connectivity the part of the tier that this member hears and is heard by
  */
 public record TierView(
     long version,
     int digest,
     int self,
-    MemberState standing,
-    Connected connected,
-    List<Seen> members) {
+    MemberState selfState,
+    Connectivity connectivity,
+    List<MemberView> members) {
 
   /**
-   * The part of the tier that a member hears and is heard by, itself counted, of all members that
-   * have not left: gone ones count as not heard, so that the lesser part of a tier that is cut in
-   * two knows that it is the lesser one. It is estimated from those that it talks with.
+   * Shares of the tier that a member hears and is heard by, from 0 to 1 and itself included, of all
+   * members that have not left. Members that are gone count as not heard, so that the minority side
+   * of a network partition can recognise itself as such. The shares are estimated from the member's
+   * neighbours.
    *
-   * @param of how many members are counted
+   * @param memberCount how many members are counted
    */
-  public record Connected(double hears, double heardBy, double bothWays, int of) {}
+  public record Connectivity(double hears, double heardBy, double bothWays, int memberCount) {}
 
   /**
-   * A member.
+   * What is known of one member.
    *
-   * @param card null if it is not known yet
-   * @param sinceNanos for how long it has been in this state here
-   * @param heardNanos how long ago this process itself heard it; -1 for never
-   * @param missedBy the members that do not hear it
-   * @param confidence from 0 to 1: how sure it is that the state is what the member's watchers say
+   * @param info null if it is not known yet
+   * @param sinceNanos for how long the member has had its state here
+   * @param sinceHeardNanos time since this process last received a datagram from the member; -1 for
+   *     never
+   * @param missedBy the members that suspect it
+   * @param confidence from 0 to 1: how certain it is that the state agrees with that seen by the
+   *     member's observers
    */
-  public record Seen(
+  public record MemberView(
       MemberRecord record,
-      Card card,
+      MemberInfo info,
       long sinceNanos,
-      long heardNanos,
+      long sinceHeardNanos,
       List<Integer> missedBy,
       double confidence) {
 
-    /** Whether some miss it, but not enough to judge that it is gone. */
-    public boolean suspect() {
-      return record.state().here() && !missedBy.isEmpty();
+    /** Returns whether some members suspect this one, but too few to declare it gone. */
+    public boolean isSuspect() {
+      return record.state().isActive() && !missedBy.isEmpty();
     }
   }
 }
--- a/src/main/java/beamspread/tier/package-info.java
+++ b/src/main/java/beamspread/tier/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Membership among the nodes of a tier, or among agents: who is there, as a pure state machine over
- * datagrams that come late, twice, in any order or never. Time (nanoseconds of a clock that never
- * runs backwards), randomness (a seed) and datagrams are passed in and out; no I/O. Depends on
- * nothing of the project. See docs/design/0011-tier.md.
+ * Membership among the nodes of a tier, or among agents: a failure detector and gossip protocol as
+ * a pure state machine, for a network that may delay, duplicate, reorder or lose datagrams. Time
+ * (nanoseconds of a monotonic clock), randomness (a seed) and datagrams are passed in and out;
+ * there is no I/O. Depends on no other package of the project. See docs/design/0011-tier.md.
  */
 package beamspread.tier;
--- a/src/test/java/beamspread/chaos/members/TierCourseTest.java
+++ b/src/test/java/beamspread/chaos/members/TierCourseTest.java
@@ -96,7 +96,7 @@
     System.out.println("bytes a second of each: " + Math.round(perSecond));
     assertThat(perSecond).isLessThan(2000);
     for (int i = 0; i < size; i++) {
-      assertThat(tier(world, i).connected(world.now()).bothWays()).isEqualTo(1);
+      assertThat(tier(world, i).connectivity(world.now()).bothWays()).isEqualTo(1);
     }
   }
 
@@ -235,7 +235,7 @@
     world.pass(20 * SECOND);
     assertThat(gone(world, number -> true, from)).isEmpty();
     assertThat(tier(world, 5).self().state()).isEqualTo(MemberState.UNSURE);
-    assertThat(tier(world, 5).connected(world.now()).hears()).isLessThan(0.1);
+    assertThat(tier(world, 5).connectivity(world.now()).hears()).isLessThan(0.1);
     assertThat(tier(world, 0).member(5).state()).isEqualTo(MemberState.UNSURE);
     world.links((sender, to) -> LinkState.CLEAR);
     agree(world, 5 * SECOND);
@@ -245,7 +245,7 @@
     world.pass(20 * SECOND);
     assertThat(gone(world, number -> number != 6, deaf)).isEmpty();
     assertThat(gone(world, number -> number == 6, deaf)).hasSize(13);
-    assertThat(tier(world, 6).connected(world.now()).heardBy()).isLessThan(0.1);
+    assertThat(tier(world, 6).connectivity(world.now()).heardBy()).isLessThan(0.1);
     world.links((sender, to) -> LinkState.CLEAR);
     agree(world, 8 * SECOND);
   }
@@ -260,7 +260,7 @@
     assertThat(world.passUntil(20 * SECOND, 100 * MILLI, () -> parted(world, cutOff))).isTrue();
     System.out.println("parted after " + (world.now() - cutAt) / MILLI + " ms");
     for (int i = 0; i < size; i++) {
-      double part = tier(world, i).connected(world.now()).bothWays();
+      double part = tier(world, i).connectivity(world.now()).bothWays();
       assertThat(part < 0.5).isEqualTo(cutOff.test(i));
     }
     world.kill(3);
@@ -347,7 +347,7 @@
             size,
             53,
             TierMember.maker(
-                TierSettings.usual("trial"), size, 53, start -> start == 1 ? -100_000 : 0));
+                TierSettings.defaults("trial"), size, 53, start -> start == 1 ? -100_000 : 0));
     for (int i = 0; i < size; i++) {
       world.start(i);
     }
@@ -379,7 +379,7 @@
     // Names, zones and versions go round as well.
     assertThat(tier(world, 0).view(world.now()).members())
         .hasSize(size)
-        .allMatch(one -> one.card() != null);
+        .allMatch(one -> one.info() != null);
   }
 
   /** Whatever befalls a tier, afterwards all agree on who is there. */
--- a/src/test/java/beamspread/node/TierPartTest.java
+++ b/src/test/java/beamspread/node/TierConfigTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import beamspread.node.tier.TierPart;
+import beamspread.node.tier.TierConfig;
 import beamspread.sim.Message;
 import beamspread.sim.WireException;
 import java.nio.file.Files;
@@ -11,11 +11,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** When a node takes part in its tier's membership, and what stops its start. */
-class TierPartTest {
+/** Tests under which configuration a node joins its tier, and which errors prevent its start. */
+class TierConfigTest {
   @TempDir Path folder;
 
-  private NodeConfig load(String more) throws WireException {
+  private NodeConfig load(String extraFields) throws WireException {
     return NodeConfig.parse(
         Message.parse(
             """
@@ -30,53 +30,56 @@
                "warm-within":10,"overload-factor":3,"overload-for":2},
               "services":[{"name":"read","slo":0.5,"give-up":1.5,"effect":"retryable"}]}}
             """
-                .formatted(more)));
+                .formatted(extraFields)));
   }
 
-  private String with(String file, String peers) throws Exception {
+  private String tierSettings(String file, String peers) throws Exception {
     Path path = Files.writeString(folder.resolve("tier.json"), file);
     return "\"peer_listen\":\"127.0.0.1:0\",\"peers\":%s,\"tier_file\":\"%s\","
         .formatted(peers, path);
   }
 
-  private void refused(String file, String peers, String why) {
-    assertThatThrownBy(() -> load(with(file, peers)))
+  private void assertRejected(String file, String peers, String message) {
+    assertThatThrownBy(() -> load(tierSettings(file, peers)))
         .isInstanceOf(WireException.class)
-        .hasMessageContaining(why);
+        .hasMessageContaining(message);
   }
 
   @Test
-  void onlyAFileAndLeaveToTalkTurnItOn() throws Exception {
+  void requiresTierFileAndPermissionForPeerTraffic() throws Exception {
     assertThat(load("").tier()).isNull();
     assertThat(load("\"peer_listen\":\"127.0.0.1:0\",\"peers\":[\"127.0.0.1:1\"],").tier())
         .isNull();
-    TierPart part =
-        load(with("{\"tier\":\"t\",\"silence_s\":2}", "[\"127.0.0.1:1\",\"127.0.0.1:2\"]")).tier();
-    assertThat(part.number()).isEqualTo(1);
-    assertThat(part.settings().silenceNanos()).isEqualTo(2_000_000_000L);
-    assertThat(part.settings().intervalNanos()).isEqualTo(250_000_000L);
-    assertThat(part.card().name()).isEqualTo("n1");
-    assertThat(part.shared()).isFalse();
-    TierPart sample =
-        load(with(
+    TierConfig config =
+        load(tierSettings("{\"tier\":\"t\",\"silence_s\":2}", "[\"127.0.0.1:1\",\"127.0.0.1:2\"]"))
+            .tier();
+    assertThat(config.number()).isEqualTo(1);
+    assertThat(config.settings().silenceNanos()).isEqualTo(2_000_000_000L);
+    assertThat(config.settings().intervalNanos()).isEqualTo(250_000_000L);
+    assertThat(config.info().name()).isEqualTo("n1");
+    assertThat(config.sharedPort()).isFalse();
+    TierConfig sample =
+        load(tierSettings(
                 Files.readString(Path.of("deploy/tier.json")), "[\"127.0.0.1:1\",\"127.0.0.1:2\"]"))
             .tier();
     assertThat(sample.settings().name()).isEqualTo("budapest");
   }
 
   @Test
-  void aWrongFileStopsTheStartWithOneErrorThatNamesTheKey() {
-    String two = "[\"127.0.0.1:1\",\"127.0.0.1:2\"]";
-    refused("{}", two, "tier.json: ");
-    refused("{\"tier\":\"t\",\"silense_s\":2}", two, "tier.json: unknown key 'silense_s'");
-    refused(
+  void rejectsInvalidTierFileNamingTheKey() {
+    String twoPeers = "[\"127.0.0.1:1\",\"127.0.0.1:2\"]";
+    assertRejected("{}", twoPeers, "tier.json: ");
+    assertRejected(
+        "{\"tier\":\"t\",\"silense_s\":2}", twoPeers, "tier.json: unknown key 'silense_s'");
+    assertRejected(
         "{\"tier\":\"t\",\"silence_s\":0.5}",
-        two,
-        "tier.json: silence must be three intervals at least");
-    refused("{\"tier\":\"t\",\"interval_s\":\"fast\"}", two, "interval_s");
-    refused(
+        twoPeers,
+        "tier.json: silence must be at least three intervals");
+    assertRejected("{\"tier\":\"t\",\"interval_s\":\"fast\"}", twoPeers, "interval_s");
+    assertRejected(
         "{\"tier\":\"t\"}", "[\"127.0.0.1:1\"]", "peers: has 1 addresses and none for number 1");
-    refused("{\"tier\":\"t\"}", "[\"127.0.0.1:1\",\"here\"]", "peers: 'here' is not an IP address");
+    assertRejected(
+        "{\"tier\":\"t\"}", "[\"127.0.0.1:1\",\"here\"]", "peers: 'here' is not an IP address");
     assertThatThrownBy(() -> load("\"tier_file\":\"none.json\","))
         .hasMessageContaining("tier_file: nodes may not talk here");
   }
