--- a/src/main/java/beamspread/agent/VariantCalls.java
+++ b/src/main/java/beamspread/agent/VariantCalls.java
@@ -3,9 +3,9 @@
 import beamspread.fleet.api.Api;
 import beamspread.lease.FencingToken;
 import beamspread.variants.HeldTable;
-import beamspread.variants.VariantDesk;
 import beamspread.variants.VariantException;
 import beamspread.variants.VariantTable;
+import beamspread.variants.VariantTableRelay;
 import beamspread.variants.VariantVersion;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -40,7 +40,7 @@
 
   private final AgentCore core;
   private final KeptSplits kept;
-  private final Map<String, VariantDesk> desks = new TreeMap<>();
+  private final Map<String, VariantTableRelay> desks = new TreeMap<>();
 
   VariantCalls(AgentCore core, KeptSplits kept) {
     this.core = core;
@@ -54,14 +54,14 @@
     }
   }
 
-  private VariantDesk desk(String fleet) throws Refusal {
+  private VariantTableRelay desk(String fleet) throws Refusal {
     check(fleet.matches(FLEET), 400, "bad_request", "'" + fleet + "' is no name of a fleet");
     check(
         desks.size() < MOST_FLEETS || desks.containsKey(fleet),
         503,
         "full",
         "tables of " + MOST_FLEETS + " fleets are held here");
-    return desks.computeIfAbsent(fleet, VariantDesk::new);
+    return desks.computeIfAbsent(fleet, VariantTableRelay::new);
   }
 
   /**
@@ -74,26 +74,26 @@
   }
 
   private Api.VariantView seen(String fleet, boolean withText) throws Refusal {
-    VariantDesk desk = desk(fleet);
+    VariantTableRelay desk = desk(fleet);
     long now = core.now();
     VariantTable table = desk.held().inForce(now);
-    Set<String> split = desk.split(now, SAID_NANOS);
+    Set<String> split = desk.splitFamilies(now, SAID_NANOS);
     List<Api.VariantNode> nodes = new ArrayList<>();
-    new TreeMap<>(desk.words())
+    new TreeMap<>(desk.nodeReports())
         .forEach(
             (node, word) ->
                 nodes.add(
                     new Api.VariantNode(
                         node,
                         word.version().toString(),
-                        (now - word.at()) / 1_000_000,
-                        List.copyOf(word.split()))));
+                        (now - word.receivedAtNanos()) / 1_000_000,
+                        List.copyOf(word.splitFamilies()))));
     return new Api.VariantView(
         core.name(),
         fleet,
         clock(now),
-        desk.held().highest().toString(),
-        desk.held().leftNanos(now) / 1_000_000,
+        desk.held().highestVersion().toString(),
+        desk.held().remainingNanos(now) / 1_000_000,
         table == null ? null : table.digest(),
         table == null || !withText ? null : table.text(),
         List.copyOf(split),
@@ -118,26 +118,26 @@
               "bad_request",
               "a table is offered under the lease variants/" + fleet);
           check(kept.trouble() == null, 503, "splits_damaged", kept.trouble());
-          VariantDesk desk = desk(fleet);
-          HeldTable.Taken taken =
+          VariantTableRelay desk = desk(fleet);
+          HeldTable.OfferResult taken =
               offer.text() == null
                   ? renew(desk, offer, token)
                   : desk.offer(core.now(), table(offer, token), readAt(offer), holdNanos(offer));
           check(
-              taken == HeldTable.Taken.NEW || taken == HeldTable.Taken.RENEWED,
+              taken == HeldTable.OfferResult.NEW || taken == HeldTable.OfferResult.RENEWED,
               409,
               "table_" + taken.name().toLowerCase(Locale.ROOT),
               "the table is not taken here ("
                   + taken
                   + "): "
-                  + desk.held().highest()
+                  + desk.held().highestVersion()
                   + " was seen");
           return CompletableFuture.completedFuture(seen(fleet, false));
         });
   }
 
-  private HeldTable.Taken renew(VariantDesk desk, Api.VariantOffer offer, FencingToken token)
-      throws Refusal {
+  private HeldTable.OfferResult renew(
+      VariantTableRelay desk, Api.VariantOffer offer, FencingToken token) throws Refusal {
     VariantTable table = desk.held().inForce(core.now());
     check(
         table != null
@@ -260,18 +260,18 @@
               "node must have 1 to " + LONGEST_NAME + " letters");
           List<String> split = pull.split() == null ? List.of() : pull.split();
           check(split.size() <= MOST_FAMILIES, 400, "bad_request", "split names too many");
-          VariantDesk desk = desk(fleet);
+          VariantTableRelay desk = desk(fleet);
           long now = core.now();
           VariantVersion known = new VariantVersion(pull.token(), pull.number());
-          desk.heard(now, pull.node(), known, Set.copyOf(split));
-          VariantVersion here = desk.held().highest();
+          desk.recordNodeReport(now, pull.node(), known, Set.copyOf(split));
+          VariantVersion here = desk.held().highestVersion();
           VariantTable table = desk.held().inForce(now);
           boolean has = table == null || here.equals(known);
           return CompletableFuture.completedFuture(
               new Api.VariantTold(
                   here.token(),
                   here.number(),
-                  desk.held().leftNanos(now) / 1_000_000,
+                  desk.held().remainingNanos(now) / 1_000_000,
                   has ? null : table.digest(),
                   has ? null : table.text()));
         });
--- a/src/main/java/beamspread/cli/MeasureVariantTable.java
+++ b/src/main/java/beamspread/cli/MeasureVariantTable.java
@@ -124,7 +124,7 @@
     for (int i = 0; i < COPIES; i++) {
       VariantKeys keys = new VariantKeys(file.settings(), file.rules());
       // Read anew, as a node does; its own text is what came.
-      keys.take(
+      keys.offer(
           0, VariantTable.parse(new String(table.text()), table.digest()), Long.MAX_VALUE / 2);
       keys.rewrite(0, "family0/tablet/1", "read");
       held.add(keys);
@@ -158,7 +158,7 @@
           NodeProcess node = node(scratch, group, rules, toNode.address())) {
         VariantPublisher publisher =
             new VariantPublisher(fleet, WorkLease.of(new FencingToken("variants/main", 1)), file);
-        long every = file.settings().pullNanos();
+        long every = file.settings().pullIntervalNanos();
         publishing.scheduleAtFixedRate(publisher::round, 0, every, TimeUnit.NANOSECONDS);
         awaitTable(agent);
         long nodeBefore = toNode.bytes();
--- a/src/main/java/beamspread/cli/VariantsExplainCommand.java
+++ b/src/main/java/beamspread/cli/VariantsExplainCommand.java
@@ -54,7 +54,7 @@
     }
     VariantKeys keys = new VariantKeys(read.settings(), read.rules());
     VariantTable table = VariantTable.parse(view.text(), view.digest());
-    if (keys.take(0, table, Long.MAX_VALUE / 2) != HeldTable.Taken.NEW) {
+    if (keys.offer(0, table, Long.MAX_VALUE / 2) != HeldTable.OfferResult.NEW) {
       return null;
     }
     String canonical = keys.canonical(0, key, requestClass);
--- a/src/main/java/beamspread/cli/VariantsRunCommand.java
+++ b/src/main/java/beamspread/cli/VariantsRunCommand.java
@@ -86,7 +86,7 @@
         told = what;
         say(what);
       }
-      long rest = source.file().settings().pullNanos() - (System.nanoTime() - from);
+      long rest = source.file().settings().pullIntervalNanos() - (System.nanoTime() - from);
       TimeUnit.NANOSECONDS.sleep(Math.max(0, rest));
       if (source.reread(this::say)) {
         publisher.use(source.file());
--- a/src/main/java/beamspread/fleet/VariantPublisher.java
+++ b/src/main/java/beamspread/fleet/VariantPublisher.java
@@ -37,7 +37,7 @@
   /** The operators say something else now; the fleet stays what it is. */
   public void use(VariantFile file) {
     settings = file.settings();
-    owner.use(file.rows());
+    owner.setRows(file.rows());
   }
 
   /**
@@ -56,7 +56,7 @@
         fleet.ask(Selection.all(), client -> client.variantsBrief(settings.fleet()));
     views.failures().forEach((agent, why) -> failures.put(agent, why.getMessage()));
     views.answers().forEach(this::heard);
-    VariantTable table = owner.table(System.nanoTime());
+    VariantTable table = owner.currentTable(System.nanoTime());
     Fleet.Answers<Boolean> taken =
         fleet.ask(
             Selection.all(), client -> offer(client, table, views.answers().get(client.name())));
@@ -66,8 +66,8 @@
   }
 
   private void heard(String agent, Api.VariantView view) {
-    owner.heard(System.nanoTime(), agent, Set.copyOf(view.split()));
-    owner.kept(agent, Set.copyOf(view.kept()));
+    owner.recordSplitFamilies(System.nanoTime(), agent, Set.copyOf(view.split()));
+    owner.setKeptSplit(agent, Set.copyOf(view.kept()));
   }
 
   private boolean offer(AgentClient client, VariantTable table, Api.VariantView view)
--- a/src/main/java/beamspread/node/NodeConfig.java
+++ b/src/main/java/beamspread/node/NodeConfig.java
@@ -200,7 +200,7 @@
 
   /** Only requests whose effect may be repeated may be asked under another key. */
   private static void checkReads(VariantRule rule, Settings settings) throws WireException {
-    for (String request : rule.requests()) {
+    for (String request : rule.requestClasses()) {
       if (settings.services().stream()
           .noneMatch(
               service ->
--- a/src/main/java/beamspread/node/variants/TablePull.java
+++ b/src/main/java/beamspread/node/variants/TablePull.java
@@ -38,7 +38,7 @@
  */
 public final class TablePull {
   /** Room for a table as a JSON text, whose line ends take two bytes. */
-  private static final int LONGEST_ANSWER = 2 * VariantTable.LONGEST;
+  private static final int LONGEST_ANSWER = 2 * VariantTable.MAX_BYTES;
 
   /** Clocks of two machines may run apart by this part. */
   private static final int CLOCK_PART = 100;
@@ -76,7 +76,7 @@
 
   /** Begins to ask. */
   public void start() {
-    loop.scheduleWithFixedDelay(this::pull, 0, settings.pullNanos(), TimeUnit.NANOSECONDS);
+    loop.scheduleWithFixedDelay(this::pull, 0, settings.pullIntervalNanos(), TimeUnit.NANOSECONDS);
   }
 
   private void pull() {
@@ -84,7 +84,9 @@
     ChannelFuture connecting =
         bootstrap
             .clone()
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) (settings.pullNanos() / 1_000_000))
+            .option(
+                ChannelOption.CONNECT_TIMEOUT_MILLIS,
+                (int) (settings.pullIntervalNanos() / 1_000_000))
             .handler(
                 new ChannelInitializer<>() {
                   @Override
@@ -109,7 +111,7 @@
   }
 
   private void ask(Channel channel) {
-    VariantVersion known = keys.held().highest();
+    VariantVersion known = keys.held().highestVersion();
     Set<String> split = keys.split(System.nanoTime());
     String body =
         Json.object(
@@ -140,7 +142,7 @@
     }
     channel.writeAndFlush(request);
     // An answer that takes longer is of no use: the next call is on its way.
-    loop.schedule(() -> channel.close(), settings.pullNanos(), TimeUnit.NANOSECONDS);
+    loop.schedule(() -> channel.close(), settings.pullIntervalNanos(), TimeUnit.NANOSECONDS);
   }
 
   private String host() {
@@ -182,20 +184,20 @@
       long valid = (long) (told.requiredNumber("valid_ms") * 1e6);
       long holdsUntil = askedAt + valid - valid / CLOCK_PART;
       long now = System.nanoTime();
-      HeldTable.Taken taken;
+      HeldTable.OfferResult taken;
       if (told.has("text")) {
         VariantTable table =
             VariantTable.parse(told.requiredText("text"), told.requiredText("digest"));
-        taken = keys.take(now, table, holdsUntil);
+        taken = keys.offer(now, table, holdsUntil);
       } else {
         VariantVersion version =
             new VariantVersion(
                 (long) told.requiredNumber("token"), (long) told.requiredNumber("number"));
         taken = keys.renew(now, version, holdsUntil);
       }
-      if (taken == HeldTable.Taken.NEW) {
+      if (taken == HeldTable.OfferResult.NEW) {
         trouble = null;
-        log.accept("variant keys: table " + keys.held().highest() + " is in force");
+        log.accept("variant keys: table " + keys.held().highestVersion() + " is in force");
       }
     }
 
--- a/src/main/java/beamspread/node/variants/VariantFileReader.java
+++ b/src/main/java/beamspread/node/variants/VariantFileReader.java
@@ -78,7 +78,7 @@
 
   private static VariantSettings settings(Message file) throws WireException {
     try {
-      VariantSettings usual = VariantSettings.usual(file.requiredText("fleet"));
+      VariantSettings usual = VariantSettings.defaults(file.requiredText("fleet"));
       long hold = nanos(file, "hold_s", usual.holdNanos());
       return new VariantSettings(
           usual.fleet(),
@@ -107,11 +107,11 @@
       throw new WireException(place + "separator must be one letter");
     }
     double maxAge = rule.requiredNumber("max_age_s");
-    if (maxAge * 1e9 < settings.splitNanos()) {
+    if (maxAge * 1e9 < settings.maxSplitDelayNanos()) {
       throw new WireException(
           place
               + "max_age_s: answers may be as old as "
-              + settings.splitNanos() / 1e9
+              + settings.maxSplitDelayNanos() / 1e9
               + " s, hold_s and two thirds of it");
     }
     return new VariantRule(
--- a/src/main/java/beamspread/node/variants/VariantStatus.java
+++ b/src/main/java/beamspread/node/variants/VariantStatus.java
@@ -17,8 +17,8 @@
     long now = System.nanoTime();
     VariantCounts counts = keys.counts();
     json.writeObjectFieldStart("variants");
-    json.writeStringField("version", keys.held().highest().toString());
-    json.writeNumberField("holds_ms", keys.held().leftNanos(now) / 1_000_000);
+    json.writeStringField("version", keys.held().highestVersion().toString());
+    json.writeNumberField("holds_ms", keys.held().remainingNanos(now) / 1_000_000);
     json.writeArrayFieldStart("split");
     for (String family : keys.split(now)) {
       json.writeString(family);
--- a/src/main/java/beamspread/node/variants/VariantTraffic.java
+++ b/src/main/java/beamspread/node/variants/VariantTraffic.java
@@ -20,7 +20,7 @@
     String key = command.request.key();
     long now = System.nanoTime();
     if (command.request.write()) {
-      keys.written(now, key);
+      keys.recordWrite(now, key);
       return null;
     }
     return keys.rewrite(now, key, command.request.serviceClass());
@@ -34,7 +34,7 @@
   public void answered(VariantKeys.Rewrite asked, ByteBuf value) {
     if (asked != null && asked.compared()) {
       ByteBuf bytes = value.slice(value.readerIndex(), value.readableBytes() - 2);
-      keys.answered(
+      keys.recordValue(
           System.nanoTime(), asked, new ValueHash.Builder().add(bytes.nioBuffer()).build());
     }
   }
@@ -62,7 +62,7 @@
 
     @Override
     public void whole() {
-      keys.answered(System.nanoTime(), asked, hash.build());
+      keys.recordValue(System.nanoTime(), asked, hash.build());
       sink.whole();
     }
 
--- a/src/main/java/beamspread/variants/DifferenceSampler.java
+++ b/src/main/java/beamspread/variants/DifferenceSampler.java
@@ -4,55 +4,55 @@
 import java.util.Map;
 
 /**
- * Finds out that variants which count as the same are not. Time is cut into slots, and each object
- * has its turn in one slot of each round: then its variants are asked for under their own keys, and
- * their values compared. So each object that is asked for in its slots is looked at once a round,
- * and a small part of the requests at any time.
+ * Detects variants that count as the same but have different values. Time is divided into slots,
+ * and each object is due in one slot of each round: then its variants are requested under their own
+ * keys and their values compared. So each object that is requested during its slots is checked once
+ * per round, and only a small part of the requests is affected at any time.
  */
 final class DifferenceSampler {
-  /** Objects that are compared in one slot; more are left to the next round. */
-  private static final int MOST_OBJECTS = 4096;
+  /** Maximum number of objects compared in one slot; further ones are checked in a later round. */
+  private static final int MAX_OBJECTS_PER_SLOT = 4096;
 
   private final int slots;
   private final long slotNanos;
-  private final Map<Variants, ValueHash> seen = new HashMap<>();
-  private long slot = Long.MIN_VALUE;
+  private final Map<EquivalentVariants, ValueHash> firstHashes = new HashMap<>();
+  private long currentSlot = Long.MIN_VALUE;
 
-  /** The variants of an object that count as the same. */
-  private record Variants(String object, int representative) {}
+  /** A set of variants of one object that count as the same. */
+  private record EquivalentVariants(String object, int representative) {}
 
   /**
-   * A sampler.
+   * Creates a sampler.
    *
-   * @param slots how many slots a round has
-   * @param slotNanos how long each lasts
+   * @param slots number of slots per round
+   * @param slotNanos duration of a slot
    */
   DifferenceSampler(int slots, long slotNanos) {
     this.slots = slots;
     this.slotNanos = slotNanos;
   }
 
-  /** Whether it is an object's turn. */
+  /** Returns whether an object is due to be compared. */
   boolean isDue(long now, String object) {
     return Math.floorMod(object.hashCode(), slots)
         == Math.floorMod(Math.floorDiv(now, slotNanos), slots);
   }
 
   /**
-   * A value has come under a variant's own key.
+   * Records the value that was received under a variant's own key.
    *
-   * @return whether it differs from that of another variant of this object that counts as the same
+   * @return whether it differs from the first value of this slot for the same object and set
    */
   boolean differs(long now, String object, int representative, ValueHash hash) {
-    if (Math.floorDiv(now, slotNanos) != slot) {
-      slot = Math.floorDiv(now, slotNanos);
-      seen.clear();
+    if (Math.floorDiv(now, slotNanos) != currentSlot) {
+      currentSlot = Math.floorDiv(now, slotNanos);
+      firstHashes.clear();
     }
-    Variants variants = new Variants(object, representative);
-    if (seen.size() >= MOST_OBJECTS && !seen.containsKey(variants)) {
+    EquivalentVariants variants = new EquivalentVariants(object, representative);
+    if (firstHashes.size() >= MAX_OBJECTS_PER_SLOT && !firstHashes.containsKey(variants)) {
       return false;
     }
-    ValueHash before = seen.putIfAbsent(variants, hash);
-    return before != null && !before.equals(hash);
+    ValueHash first = firstHashes.putIfAbsent(variants, hash);
+    return first != null && !first.equals(hash);
   }
 }
--- a/src/main/java/beamspread/variants/HeldTable.java
+++ b/src/main/java/beamspread/variants/HeldTable.java
@@ -1,81 +1,84 @@
 package beamspread.variants;
 
 /**
- * The table that a process holds, and until when. Versions only go up; a table holds until its end
- * on this process's own clock and not a moment longer, whoever has gone silent. A process begins
- * without one.
+ * The table that a process holds, and until when it is valid. Versions only increase. A table
+ * expires at its end on this process's own clock, even if no message arrives. A process starts
+ * without a table.
  */
 public final class HeldTable {
-  /** What became of a table that was offered. */
-  public enum Taken {
-    /** It is a new version, and in force. */
+  /** Result of offering a table. */
+  public enum OfferResult {
+    /** The table is a new version and is now in force. */
     NEW,
-    /** It is the version that is known, and holds for longer now. */
+    /** The table is the known version, and its validity was renewed. */
     RENEWED,
-    /** A higher version was seen. */
+    /** A higher version was seen before. */
     OLDER,
-    /** It has the version of another table. */
+    /** Another table with the same version is known. */
     OTHER_CONTENT,
-    /** It is another fleet's. */
+    /** The table belongs to another fleet. */
     OTHER_FLEET,
-    /** It came so late that it holds no more; what was in force before it is no more, either. */
+    /**
+     * The table arrived after its validity had ended. The previous table is no longer in force
+     * either.
+     */
     LAPSED
   }
 
   private final String fleet;
-  private VariantVersion highest = VariantVersion.NONE;
+  private VariantVersion highestVersion = VariantVersion.NONE;
   private VariantTable table;
-  private long until;
+  private long heldUntil;
 
-  /** Holds tables of this fleet, and none yet. */
+  /** Creates a holder for tables of this fleet, without a table. */
   public HeldTable(String fleet) {
     this.fleet = fleet;
   }
 
-  /** Takes a table that holds until a time of this process's clock. */
-  public Taken take(long now, VariantTable offered, long holdsUntil) {
+  /** Offers a table that is valid until a time of this process's clock. */
+  public OfferResult offer(long now, VariantTable offered, long validUntil) {
     if (!offered.fleet().equals(fleet)) {
-      return Taken.OTHER_FLEET;
+      return OfferResult.OTHER_FLEET;
     }
-    int newer = offered.version().compareTo(highest);
-    if (newer < 0 || table == null && newer == 0) {
-      return Taken.OLDER;
+    int versionOrder = offered.version().compareTo(highestVersion);
+    if (versionOrder < 0 || table == null && versionOrder == 0) {
+      return OfferResult.OLDER;
     }
-    if (newer == 0 && !offered.digest().equals(table.digest())) {
-      return Taken.OTHER_CONTENT;
+    if (versionOrder == 0 && !offered.digest().equals(table.digest())) {
+      return OfferResult.OTHER_CONTENT;
     }
-    if (newer == 0) {
-      return renew(now, offered.version(), holdsUntil);
+    if (versionOrder == 0) {
+      return renew(now, offered.version(), validUntil);
     }
-    highest = offered.version();
+    highestVersion = offered.version();
     table = offered;
-    until = holdsUntil;
-    return inForce(now) == null ? Taken.LAPSED : Taken.NEW;
+    heldUntil = validUntil;
+    return inForce(now) == null ? OfferResult.LAPSED : OfferResult.NEW;
   }
 
-  /** The version that is known holds until this time as well. */
-  public Taken renew(long now, VariantVersion version, long holdsUntil) {
-    if (table == null || version.compareTo(highest) != 0) {
-      return Taken.OLDER;
+  /** Extends the validity of the known version up to this time. */
+  public OfferResult renew(long now, VariantVersion version, long validUntil) {
+    if (table == null || version.compareTo(highestVersion) != 0) {
+      return OfferResult.OLDER;
     }
-    if (holdsUntil - until > 0) {
-      until = holdsUntil;
+    if (validUntil - heldUntil > 0) {
+      heldUntil = validUntil;
     }
-    return inForce(now) == null ? Taken.LAPSED : Taken.RENEWED;
+    return inForce(now) == null ? OfferResult.LAPSED : OfferResult.RENEWED;
   }
 
-  /** The table that holds now; null for none. */
+  /** Returns the table in force; null if there is none. */
   public VariantTable inForce(long now) {
-    return table != null && until - now > 0 ? table : null;
+    return table != null && heldUntil - now > 0 ? table : null;
   }
 
-  /** How long the table holds from now on; 0 for not at all. */
-  public long leftNanos(long now) {
-    return inForce(now) == null ? 0 : until - now;
+  /** Returns for how long the table remains valid, in nanoseconds; 0 if it is not. */
+  public long remainingNanos(long now) {
+    return inForce(now) == null ? 0 : heldUntil - now;
   }
 
-  /** The highest version that was seen, in force or not. */
-  public VariantVersion highest() {
-    return highest;
+  /** Returns the highest version seen, whether in force or not. */
+  public VariantVersion highestVersion() {
+    return highestVersion;
   }
 }
--- a/src/main/java/beamspread/variants/ValueHash.java
+++ b/src/main/java/beamspread/variants/ValueHash.java
@@ -4,13 +4,13 @@
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
 
-/** 128 bits of the SHA-256 of a value: equal for equal values, and for others by no chance. */
+/** The first 128 bits of the SHA-256 of a value. A collision of different values is negligible. */
 public record ValueHash(long high, long low) {
-  /** Hashes a value as it passes. */
+  /** Computes the hash of a value incrementally. */
   public static final class Builder {
     private final MessageDigest digest;
 
-    /** Nothing has passed yet. */
+    /** Creates a builder for an empty value. */
     public Builder() {
       try {
         digest = MessageDigest.getInstance("SHA-256");
@@ -19,13 +19,13 @@
       }
     }
 
-    /** The next bytes of the value; the buffer's position moves to its end. */
+    /** Adds the next bytes of the value; the buffer's position moves to its limit. */
     public Builder add(ByteBuffer bytes) {
       digest.update(bytes);
       return this;
     }
 
-    /** The hash of all that has passed. */
+    /** Returns the hash of all bytes added. */
     public ValueHash build() {
       ByteBuffer bytes = ByteBuffer.wrap(digest.digest());
       return new ValueHash(bytes.getLong(), bytes.getLong());
--- a/src/main/java/beamspread/variants/VariantCounts.java
+++ b/src/main/java/beamspread/variants/VariantCounts.java
@@ -1,22 +1,25 @@
 package beamspread.variants;
 
-/** What has become of keys and tables at one node. */
+/** Counts of keys, values and tables at one node. */
 public final class VariantCounts {
-  /** Keys that were replaced by their canonical ones. */
+  /** Keys that were replaced by their canonical keys. */
   public long rewritten;
 
-  /** Keys whose canonical one would be too long for the protocol. */
+  /** Keys whose canonical key would be too long for the protocol. */
   public long tooLong;
 
-  /** Values that came under a variant's own key to be compared. */
+  /** Values that were requested under a variant's own key for comparison. */
   public long compared;
 
-  /** Values that differed where they counted as the same. */
+  /** Values that differed although their variants count as the same. */
   public long differed;
 
-  /** Writes of keys of a family. */
+  /** Writes to keys of a family. */
   public long written;
 
-  /** Tables that were refused: damaged, older, of another fleet, or with what the rules lack. */
+  /**
+   * Tables that were rejected: damaged, older, of another fleet, or with a family or class that the
+   * rules lack.
+   */
   public long refused;
 }
--- a/src/main/java/beamspread/variants/VariantException.java
+++ b/src/main/java/beamspread/variants/VariantException.java
@@ -1,10 +1,10 @@
 package beamspread.variants;
 
-/** Rules or a table that can't be used; the message names the place. */
+/** Thrown for rules or a table that cannot be used; the message names the place. */
 public final class VariantException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  /** With what is wrong, and where. */
+  /** Creates an exception whose message names the error and its place. */
   public VariantException(String message) {
     super(message);
   }
--- a/src/main/java/beamspread/variants/VariantFile.java
+++ b/src/main/java/beamspread/variants/VariantFile.java
@@ -5,9 +5,9 @@
 import java.util.Set;
 
 /**
- * What the operators' file says.
+ * Contents of the operators' variants file.
  *
- * @param rows by family, the sets of classes that are the same
+ * @param rows the sets of equivalent classes, by family
  */
 public record VariantFile(
     VariantSettings settings, VariantRules rules, Map<String, List<Set<String>>> rows) {}
--- a/src/main/java/beamspread/variants/VariantKeys.java
+++ b/src/main/java/beamspread/variants/VariantKeys.java
@@ -7,16 +7,16 @@
 import java.util.TreeSet;
 
 /**
- * Canonical keys at one node. A key is replaced only while the table that says so is known to hold;
- * in any doubt it stays as it is, which is always right and only dearer. Not for more than one
- * thread.
+ * Replaces keys by canonical keys at one node. A key is replaced only while the table that says so
+ * is known to be valid; in any doubt it stays unchanged, which is always correct and only costs
+ * hits. Not thread-safe.
  */
 public final class VariantKeys {
-  /** The longest key that the protocol has, in bytes. */
-  private static final int LONGEST_KEY = 250;
+  /** Maximum key length of the protocol, in bytes. */
+  private static final int MAX_KEY_BYTES = 250;
 
-  /** Stands in an object's name where its keys have the class; no key has it. */
-  private static final char CLASS = ' ';
+  /** Replaces the class in an object's name; no key contains this character. */
+  private static final char CLASS_PLACEHOLDER = ' ';
 
   private static final int IN_NO_SET = -1;
 
@@ -26,27 +26,27 @@
   private final DifferenceSampler sampler;
   private final VariantCounts counts = new VariantCounts();
 
-  /** Until when families are left alone here, by their prefix. */
-  private final Map<String, Long> restsUntil = new HashMap<>();
+  /** Until when families are split here, by their prefix. */
+  private final Map<String, Long> splitUntil = new HashMap<>();
 
-  /** By family, for each class the one that stands for it. */
-  private Map<String, int[]> representatives = Map.of();
+  /** By family, for each class the index of the class that represents it. */
+  private Map<String, int[]> representativesByFamily = Map.of();
 
-  private VariantTable compiled;
+  private VariantTable compiledTable;
 
   /**
-   * What becomes of a request's key.
+   * How a request's key is replaced.
    *
-   * @param key to be asked for
-   * @param family whose key it is
-   * @param object what it is a variant of
-   * @param representative the number of the class that stands for its class
-   * @param compared whether the value is to be told by {@link #answered}
+   * @param key the key to request
+   * @param family the family of the key
+   * @param object the object of which the key is a variant
+   * @param representative index of the class that represents the key's class
+   * @param compared whether the value is to be passed to {@link #recordValue}
    */
   public record Rewrite(
       String key, String family, String object, int representative, boolean compared) {}
 
-  /** Without a table. */
+  /** Creates an instance without a table. */
   public VariantKeys(VariantSettings settings, VariantRules rules) {
     this.settings = settings;
     this.rules = rules;
@@ -55,11 +55,12 @@
   }
 
   /**
-   * A table was told, which holds until a time of this node's clock.
+   * Offers a table that is valid until a time of this node's clock.
    *
-   * @throws VariantException if the rules lack what it names; what was in force stays
+   * @throws VariantException if the rules lack a family or class that it names; the table in force
+   *     stays
    */
-  public HeldTable.Taken take(long now, VariantTable table, long holdsUntil)
+  public HeldTable.OfferResult offer(long now, VariantTable table, long validUntil)
       throws VariantException {
     try {
       table.check(rules);
@@ -67,78 +68,83 @@
       counts.refused++;
       throw e;
     }
-    HeldTable.Taken taken = held.take(now, table, bounded(now, holdsUntil));
-    boolean good = taken == HeldTable.Taken.NEW || taken == HeldTable.Taken.RENEWED;
-    counts.refused += good ? 0 : 1;
-    return taken;
+    HeldTable.OfferResult result = held.offer(now, table, limitHold(now, validUntil));
+    boolean accepted =
+        result == HeldTable.OfferResult.NEW || result == HeldTable.OfferResult.RENEWED;
+    counts.refused += accepted ? 0 : 1;
+    return result;
   }
 
-  /** The table that is known holds for longer. */
-  public HeldTable.Taken renew(long now, VariantVersion version, long holdsUntil) {
-    return held.renew(now, version, bounded(now, holdsUntil));
+  /** Renews the known table. */
+  public HeldTable.OfferResult renew(long now, VariantVersion version, long validUntil) {
+    return held.renew(now, version, limitHold(now, validUntil));
   }
 
-  /** Nobody can promise more than the settings have it. */
-  private long bounded(long now, long holdsUntil) {
-    return holdsUntil - now > settings.holdNanos() ? now + settings.holdNanos() : holdsUntil;
+  /** Limits the validity of a table to the configured hold time. */
+  private long limitHold(long now, long validUntil) {
+    return validUntil - now > settings.holdNanos() ? now + settings.holdNanos() : validUntil;
   }
 
   /**
-   * What becomes of a read's key; null if it stays as it is and nothing is to be told of it.
+   * Returns how a read's key is replaced; null if it stays unchanged and its value is not compared.
    *
    * @param requestClass the class of the request
    */
   public Rewrite rewrite(long now, String key, String requestClass) {
     Match match = match(now, key, requestClass);
-    return match == null || rests(now, match.rule().prefix()) ? null : rewrite(now, key, match);
+    return match == null || isSplit(now, match.rule().prefix()) ? null : rewrite(now, key, match);
   }
 
   /**
-   * The canonical key under the table in force, whether or not it is to be compared just now; null
-   * if the key stays as it is.
+   * Returns the canonical key under the table in force, whether or not the object is due to be
+   * compared; null if the key stays unchanged.
    */
   public String canonical(long now, String key, String requestClass) {
     Match match = match(now, key, requestClass);
     return match == null || match.isCanonical() ? null : canonical(key, match);
   }
 
-  /** A key whose class is in a set of the table in force; null for any other. */
+  /**
+   * Returns the match of a key whose class is in a set of the table in force; null for any other
+   * key.
+   */
   private Match match(long now, String key, String requestClass) {
     VariantTable table = held.inForce(now);
     if (table == null) {
       return null;
     }
     VariantRules.Family family = rules.family(key);
-    if (family == null || !family.rule.requests().contains(requestClass)) {
+    if (family == null || !family.rule.requestClasses().contains(requestClass)) {
       return null;
     }
-    int[] standsFor = representatives(table).get(family.rule.prefix());
-    VariantRule.Place place = standsFor == null ? null : family.place(key);
-    return place == null || standsFor[place.deviceClass()] == IN_NO_SET
+    int[] representatives = representatives(table).get(family.rule.prefix());
+    VariantRule.ClassPosition position = representatives == null ? null : family.findClass(key);
+    return position == null || representatives[position.classIndex()] == IN_NO_SET
         ? null
-        : new Match(family.rule, place, standsFor[place.deviceClass()]);
+        : new Match(family.rule, position, representatives[position.classIndex()]);
   }
 
   /**
-   * Where a key names its class, and the class that stands for it.
+   * The position of the class in a key, and the class that represents it.
    *
-   * @param representative its number
+   * @param representative index of the class that represents it
    */
-  private record Match(VariantRule rule, VariantRule.Place place, int representative) {
+  private record Match(VariantRule rule, VariantRule.ClassPosition position, int representative) {
     boolean isCanonical() {
-      return representative == place.deviceClass();
+      return representative == position.classIndex();
     }
   }
 
   private static String canonical(String key, Match match) {
-    return key.substring(0, match.place().start())
+    return key.substring(0, match.position().start())
         + match.rule().classes().get(match.representative())
-        + key.substring(match.place().end());
+        + key.substring(match.position().end());
   }
 
   private Rewrite rewrite(long now, String key, Match match) {
-    VariantRule.Place place = match.place();
-    String object = key.substring(0, place.start()) + CLASS + key.substring(place.end());
+    VariantRule.ClassPosition position = match.position();
+    String object =
+        key.substring(0, position.start()) + CLASS_PLACEHOLDER + key.substring(position.end());
     if (sampler.isDue(now, object)) {
       return new Rewrite(key, match.rule().prefix(), object, match.representative(), true);
     }
@@ -146,7 +152,7 @@
       return null;
     }
     String canonical = canonical(key, match);
-    if (canonical.length() > LONGEST_KEY) {
+    if (canonical.length() > MAX_KEY_BYTES) {
       counts.tooLong++;
       return null;
     }
@@ -155,38 +161,42 @@
   }
 
   private Map<String, int[]> representatives(VariantTable table) {
-    if (table != compiled) {
-      Map<String, int[]> all = new HashMap<>();
-      table.rows().forEach((family, sets) -> all.put(family, standsFor(rules.rule(family), sets)));
-      representatives = all;
-      compiled = table;
+    if (table != compiledTable) {
+      Map<String, int[]> compiled = new HashMap<>();
+      table
+          .rows()
+          .forEach(
+              (family, sets) ->
+                  compiled.put(family, computeRepresentatives(rules.rule(family), sets)));
+      representativesByFamily = compiled;
+      compiledTable = table;
     }
-    return representatives;
+    return representativesByFamily;
   }
 
-  private static int[] standsFor(VariantRule rule, Iterable<Set<String>> sets) {
-    int[] standsFor = new int[rule.classes().size()];
-    Arrays.fill(standsFor, IN_NO_SET);
+  private static int[] computeRepresentatives(VariantRule rule, Iterable<Set<String>> sets) {
+    int[] representatives = new int[rule.classes().size()];
+    Arrays.fill(representatives, IN_NO_SET);
     for (Set<String> set : sets) {
       int first = set.stream().mapToInt(rule.classes()::indexOf).min().orElseThrow();
-      for (String one : set) {
-        standsFor[rule.classes().indexOf(one)] = first;
+      for (String deviceClass : set) {
+        representatives[rule.classes().indexOf(deviceClass)] = first;
       }
     }
-    return standsFor;
+    return representatives;
   }
 
-  /** The value has come that was to be compared; a family whose values differ is split here. */
-  public void answered(long now, Rewrite asked, ValueHash hash) {
+  /** Records a value that was to be compared; splits the family here if its values differ. */
+  public void recordValue(long now, Rewrite rewrite, ValueHash hash) {
     counts.compared++;
-    if (sampler.differs(now, asked.object(), asked.representative(), hash)) {
+    if (sampler.differs(now, rewrite.object(), rewrite.representative(), hash)) {
       counts.differed++;
-      split(now, asked.family());
+      split(now, rewrite.family());
     }
   }
 
-  /** A key is written through this node: its family is split here. */
-  public void written(long now, String key) {
+  /** Records a write through this node; splits the key's family here. */
+  public void recordWrite(long now, String key) {
     VariantRules.Family family = rules.family(key);
     if (family != null) {
       counts.written++;
@@ -194,37 +204,40 @@
     }
   }
 
-  /** Leaves a family's keys alone, and has it told, for the time of rest. */
+  /**
+   * Splits a family here for the configured rest time: its keys stay unchanged, and the split is
+   * reported.
+   */
   public void split(long now, String family) {
-    restsUntil.put(family, now + settings.restNanos());
+    splitUntil.put(family, now + settings.restNanos());
   }
 
-  private boolean rests(long now, String family) {
-    Long until = restsUntil.get(family);
+  private boolean isSplit(long now, String family) {
+    Long until = splitUntil.get(family);
     if (until != null && until - now <= 0) {
-      restsUntil.remove(family);
+      splitUntil.remove(family);
       return false;
     }
     return until != null;
   }
 
-  /** The families that are left alone here. */
+  /** Returns the families that are split here. */
   public Set<String> split(long now) {
     Set<String> split = new TreeSet<>();
-    for (String family : Set.copyOf(restsUntil.keySet())) {
-      if (rests(now, family)) {
+    for (String family : Set.copyOf(splitUntil.keySet())) {
+      if (isSplit(now, family)) {
         split.add(family);
       }
     }
     return split;
   }
 
-  /** What is held. */
+  /** Returns the table held here, with its validity. */
   public HeldTable held() {
     return held;
   }
 
-  /** What has become of keys and tables. */
+  /** Returns the counts of this node. */
   public VariantCounts counts() {
     return counts;
   }
--- a/src/main/java/beamspread/variants/VariantOwner.java
+++ b/src/main/java/beamspread/variants/VariantOwner.java
@@ -8,30 +8,30 @@
 import java.util.TreeSet;
 
 /**
- * The owner of a fleet's table: decides its versions under the token of its lease. A family that
- * any node has split is left out until all have been silent of it for the time of rest, one that
- * operators keep split until all agents have been told that it is allowed again. A new owner merges
- * nothing before it has heard all agents, or waited for two holds: it does not know yet what nodes
- * have split.
+ * The owner of a fleet's table: decides on its versions under the fencing token of its lease. A
+ * family that any node has split is left out until no node has reported it for the rest time; a
+ * family that operators keep split is left out until all agents allow it again. A new owner merges
+ * nothing until it has heard from all agents or waited for two hold times, because it does not know
+ * yet what nodes have split.
  */
 public final class VariantOwner {
   private final VariantSettings settings;
   private final long token;
-  private Map<String, List<Set<String>>> rows;
+  private Map<String, List<Set<String>>> configuredRows;
   private final Map<String, Long> splitUntil = new HashMap<>();
 
   /** By agent, the families that operators keep split there. */
-  private final Map<String, Set<String>> kept = new HashMap<>();
+  private final Map<String, Set<String>> keptSplitByAgent = new HashMap<>();
 
-  private final Set<String> unheard;
-  private final long waitsUntil;
+  private final Set<String> agentsNotHeard;
+  private final long mergesFrom;
   private VariantTable table;
 
   /**
-   * An owner.
+   * Creates an owner.
    *
-   * @param token of its lease
-   * @param rows the families whose classes are the same, as the operators say
+   * @param token the fencing token of its lease
+   * @param rows the sets of equivalent classes by family, as configured by the operators
    * @param agents the names of all agents
    */
   public VariantOwner(
@@ -42,34 +42,34 @@
       long now) {
     this.settings = settings;
     this.token = token;
-    this.rows = new TreeMap<>(rows);
-    this.unheard = new TreeSet<>(agents);
-    this.waitsUntil = now + 2 * settings.holdNanos();
+    this.configuredRows = new TreeMap<>(rows);
+    this.agentsNotHeard = new TreeSet<>(agents);
+    this.mergesFrom = now + 2 * settings.holdNanos();
   }
 
-  /** The operators say something else now. */
-  public void use(Map<String, List<Set<String>>> other) {
-    rows = new TreeMap<>(other);
+  /** Replaces the rows configured by the operators. */
+  public void setRows(Map<String, List<Set<String>>> newRows) {
+    configuredRows = new TreeMap<>(newRows);
   }
 
-  /** Nodes of an agent leave these families alone. */
-  public void heard(long now, String agent, Set<String> families) {
-    unheard.remove(agent);
+  /** Records the families that the nodes of an agent have split. */
+  public void recordSplitFamilies(long now, String agent, Set<String> families) {
+    agentsNotHeard.remove(agent);
     families.forEach(family -> splitUntil.put(family, now + settings.restNanos()));
   }
 
-  /** Operators keep these families split at an agent, and no others. */
-  public void kept(String agent, Set<String> families) {
-    kept.put(agent, Set.copyOf(families));
+  /** Sets the families that operators keep split at an agent; replaces the previous ones. */
+  public void setKeptSplit(String agent, Set<String> families) {
+    keptSplitByAgent.put(agent, Set.copyOf(families));
   }
 
-  /** The table as it is to be now: a new version where it has changed. */
-  public VariantTable table(long now) {
+  /** Returns the current table, with a new version if its rows have changed. */
+  public VariantTable currentTable(long now) {
     splitUntil.values().removeIf(until -> until - now <= 0);
-    Map<String, List<Set<String>>> merged = new TreeMap<>(rows);
+    Map<String, List<Set<String>>> merged = new TreeMap<>(configuredRows);
     merged.keySet().removeAll(splitUntil.keySet());
-    kept.values().forEach(merged.keySet()::removeAll);
-    if (!unheard.isEmpty() && waitsUntil - now > 0) {
+    keptSplitByAgent.values().forEach(merged.keySet()::removeAll);
+    if (!agentsNotHeard.isEmpty() && mergesFrom - now > 0) {
       merged.clear();
     }
     if (table == null || !table.rows().equals(merged)) {
--- a/src/main/java/beamspread/variants/VariantRule.java
+++ b/src/main/java/beamspread/variants/VariantRule.java
@@ -6,89 +6,100 @@
 import java.util.Set;
 
 /**
- * Where the keys of one family name the device class. A key belongs to the family if it begins with
- * the prefix; what follows is cut at the separator, and the class is a whole field of it: the one
- * at a position, or the rest of the first one that begins with a name. An object's variants are the
- * keys that differ in nothing else.
+ * Defines where the keys of one family name the device class. A key belongs to the family if it
+ * begins with the prefix. The rest of the key is split at the separator, and the class is a whole
+ * field: the one at an index, or the rest of the first field that begins with a given text. The
+ * variants of an object are the keys that differ only in the class.
  *
- * @param prefix the family, by which tables name it
+ * @param prefix prefix of the keys, which also names the family in tables
  * @param separator between fields
- * @param field the class's position, from 0; negative where it goes by a name
- * @param name what the class's field begins with, such as {@code device=}; null where it goes by
- *     its position
- * @param classes the device classes; the first of those that are the same stands for them
- * @param requests the request classes whose reads may be rewritten
- * @param on whether the rule is in use
+ * @param fieldIndex index of the field with the class, from 0; negative if the field is found by
+ *     its text
+ * @param fieldPrefix text with which the field begins, such as {@code device=}; null if the field
+ *     is found by its index
+ * @param classes the device classes; the first of a set of equivalent ones represents the others
+ * @param requestClasses the request classes whose reads may be rewritten
+ * @param enabled whether the rule is in use
  */
 public record VariantRule(
     String prefix,
     char separator,
-    int field,
-    String name,
+    int fieldIndex,
+    String fieldPrefix,
     List<String> classes,
-    Set<String> requests,
-    boolean on) {
+    Set<String> requestClasses,
+    boolean enabled) {
 
-  /** Device classes of a rule. */
-  public static final int MOST_CLASSES = 64;
+  /** Maximum number of device classes of a rule. */
+  public static final int MAX_CLASSES = 64;
 
-  /** Where a key names its class. */
-  record Place(int start, int end, int deviceClass) {}
+  /** The position of the class in a key, and the index of that class. */
+  record ClassPosition(int start, int end, int classIndex) {}
 
   /**
-   * Checks the rule by itself; the lists are copied.
+   * Checks the rule and copies the collections.
    *
-   * @throws IllegalArgumentException that names the part that makes no sense
+   * @throws IllegalArgumentException that names the invalid part
    */
   public VariantRule {
-    check(isWord(prefix) && prefix.length() <= 200, "prefix must have 1 to 200 visible letters");
-    check(separator > ' ' && separator < 0x7F, "separator must be one visible letter");
-    check((name == null) == (field >= 0), "either a field or a name says where the class stands");
-    check(field < 64, "field must be below 64");
-    check(name == null || isWord(name) && name.indexOf(separator) < 0, "name can't begin a field");
     check(
-        classes.size() >= 2 && classes.size() <= MOST_CLASSES,
-        "classes must be 2 to " + MOST_CLASSES);
-    for (String one : classes) {
+        isVisibleAscii(prefix) && prefix.length() <= 200,
+        "prefix must have 1 to 200 visible ASCII characters");
+    check(separator > ' ' && separator < 0x7F, "separator must be one visible ASCII character");
+    check(
+        (fieldPrefix == null) == (fieldIndex >= 0),
+        "either a field or a name says where the class stands");
+    check(fieldIndex < 64, "field must be below 64");
+    check(
+        fieldPrefix == null || isVisibleAscii(fieldPrefix) && fieldPrefix.indexOf(separator) < 0,
+        "name must be visible ASCII without the separator");
+    check(
+        classes.size() >= 2 && classes.size() <= MAX_CLASSES,
+        "classes must be 2 to " + MAX_CLASSES);
+    for (String deviceClass : classes) {
       check(
-          isWord(one) && one.indexOf(separator) < 0 && one.indexOf(VariantTable.JOINED) < 0,
-          "classes: '" + one + "' can't be a class");
+          isVisibleAscii(deviceClass)
+              && deviceClass.indexOf(separator) < 0
+              && deviceClass.indexOf(VariantTable.CLASS_SEPARATOR) < 0,
+          "classes: '" + deviceClass + "' is not a valid class name");
     }
-    check(Set.copyOf(classes).size() == classes.size(), "classes: one stands twice");
-    check(!requests.isEmpty(), "requests names no request class");
+    check(Set.copyOf(classes).size() == classes.size(), "classes: a class is named twice");
+    check(!requestClasses.isEmpty(), "requests names no request class");
     classes = List.copyOf(classes);
-    requests = Set.copyOf(requests);
+    requestClasses = Set.copyOf(requestClasses);
   }
 
-  private static void check(boolean holds, String problem) {
-    if (!holds) {
+  private static void check(boolean valid, String problem) {
+    if (!valid) {
       throw new IllegalArgumentException(problem);
     }
   }
 
-  private static boolean isWord(String text) {
+  private static boolean isVisibleAscii(String text) {
     return !text.isEmpty() && text.chars().allMatch(letter -> letter > ' ' && letter < 0x7F);
   }
 
-  /** The numbers of the classes by name. */
-  Map<String, Integer> numbers() {
-    Map<String, Integer> numbers = new HashMap<>();
+  /** Returns the indexes of the classes by name. */
+  Map<String, Integer> classIndexes() {
+    Map<String, Integer> indexes = new HashMap<>();
     for (int i = 0; i < classes.size(); i++) {
-      numbers.put(classes.get(i), i);
+      indexes.put(classes.get(i), i);
     }
-    return numbers;
+    return indexes;
   }
 
-  /** Where a key of the family names its class; null if it names none of them. */
-  Place place(String key, Map<String, Integer> numbers) {
+  /** Finds the class in a key of the family; null if the key names none of the classes. */
+  ClassPosition findClass(String key, Map<String, Integer> classIndexes) {
     int start = prefix.length();
     for (int i = 0; ; i++) {
       int next = key.indexOf(separator, start);
       int end = next < 0 ? key.length() : next;
-      if (name == null ? i == field : key.startsWith(name, start) && start + name.length() <= end) {
-        int from = start + (name == null ? 0 : name.length());
-        Integer number = numbers.get(key.substring(from, end));
-        return number == null ? null : new Place(from, end, number);
+      if (fieldPrefix == null
+          ? i == fieldIndex
+          : key.startsWith(fieldPrefix, start) && start + fieldPrefix.length() <= end) {
+        int classStart = start + (fieldPrefix == null ? 0 : fieldPrefix.length());
+        Integer classIndex = classIndexes.get(key.substring(classStart, end));
+        return classIndex == null ? null : new ClassPosition(classStart, end, classIndex);
       }
       if (next < 0) {
         return null;
--- a/src/main/java/beamspread/variants/VariantTable.java
+++ b/src/main/java/beamspread/variants/VariantTable.java
@@ -13,17 +13,17 @@
 
 /**
  * One version of the shared table: by family, the sets of device classes whose responses are the
- * same. As text it has a line for each family and a last line that counts them, so that one that is
- * cut off is known; its digest goes beside it.
+ * same. As text it has one line per family and a last line with their number, by which truncation
+ * is detected; its digest is sent separately.
  */
 public final class VariantTable {
-  /** Between the classes of a set. */
-  static final char JOINED = '+';
+  /** Separates the classes of a set. */
+  static final char CLASS_SEPARATOR = '+';
 
-  /** The longest text of a table, in bytes. */
-  public static final int LONGEST = 1 << 20;
+  /** Maximum length of a table's text, in bytes. */
+  public static final int MAX_BYTES = 1 << 20;
 
-  private static final String FIRST = "variants 1";
+  private static final String FIRST_LINE = "variants 1";
   private final String fleet;
   private final VariantVersion version;
   private final Map<String, List<Set<String>>> rows;
@@ -39,11 +39,11 @@
     this.digest = digest(text);
   }
 
-  /** A table of these rows. */
+  /** Creates a table with these rows. */
   public static VariantTable of(
       String fleet, VariantVersion version, Map<String, List<Set<String>>> rows) {
     Map<String, List<Set<String>>> sorted = new TreeMap<>(rows);
-    StringBuilder text = new StringBuilder(FIRST).append('\n');
+    StringBuilder text = new StringBuilder(FIRST_LINE).append('\n');
     text.append("fleet ").append(fleet).append('\n');
     text.append("version ").append(version.token()).append(' ').append(version.number());
     text.append('\n');
@@ -51,7 +51,8 @@
         (family, sets) -> {
           text.append("row ").append(family);
           for (Set<String> set : sets) {
-            text.append(' ').append(String.join(Character.toString(JOINED), new TreeSet<>(set)));
+            text.append(' ')
+                .append(String.join(Character.toString(CLASS_SEPARATOR), new TreeSet<>(set)));
           }
           text.append('\n');
         });
@@ -60,73 +61,76 @@
   }
 
   /**
-   * Reads a table.
+   * Parses a table.
    *
-   * @param digest what its digest must be
-   * @throws VariantException that names the line that makes no sense
+   * @param digest the expected digest
+   * @throws VariantException that names the invalid line
    */
   public static VariantTable parse(String text, String digest) throws VariantException {
-    if (text.length() > LONGEST) {
-      throw new VariantException("a table of more than " + LONGEST + " bytes");
+    if (text.length() > MAX_BYTES) {
+      throw new VariantException("the table has more than " + MAX_BYTES + " bytes");
     }
     if (!digest(text).equals(digest)) {
-      throw new VariantException("the digest does not fit: it is " + digest(text));
+      throw new VariantException("the digest does not match: it is " + digest(text));
     }
     String[] lines = text.split("\n", -1);
     int last = lines.length - 2;
-    if (last < 3 || !lines[last + 1].isEmpty() || !lines[0].equals(FIRST)) {
-      throw new VariantException("no table, or one that is cut off");
+    if (last < 3 || !lines[last + 1].isEmpty() || !lines[0].equals(FIRST_LINE)) {
+      throw new VariantException("not a table, or a truncated one");
     }
-    String fleet = words(lines, 1, "fleet", 2)[1];
-    String[] version = words(lines, 2, "version", 3);
+    String fleet = parseWords(lines, 1, "fleet", 2)[1];
+    String[] version = parseWords(lines, 2, "version", 3);
     Map<String, List<Set<String>>> rows = new TreeMap<>();
     for (int i = 3; i < last; i++) {
-      row(lines, i, rows);
+      parseRow(lines, i, rows);
     }
-    if (number(lines, last, words(lines, last, "end", 2)[1]) != rows.size()) {
-      throw new VariantException("line " + (last + 1) + ": counts other rows than there are");
+    if (parseNumber(lines, last, parseWords(lines, last, "end", 2)[1]) != rows.size()) {
+      throw new VariantException("line " + (last + 1) + ": the number of rows does not match");
     }
-    VariantVersion of =
-        new VariantVersion(number(lines, 2, version[1]), number(lines, 2, version[2]));
-    return new VariantTable(fleet, of, rows, text);
+    VariantVersion parsedVersion =
+        new VariantVersion(parseNumber(lines, 2, version[1]), parseNumber(lines, 2, version[2]));
+    return new VariantTable(fleet, parsedVersion, rows, text);
   }
 
-  private static void row(String[] lines, int number, Map<String, List<Set<String>>> rows)
+  private static void parseRow(String[] lines, int lineIndex, Map<String, List<Set<String>>> rows)
       throws VariantException {
-    String[] words = lines[number].split(" ");
+    String[] words = lines[lineIndex].split(" ");
     if (words.length < 3 || !words[0].equals("row")) {
-      throw new VariantException("line " + (number + 1) + ": no row");
+      throw new VariantException("line " + (lineIndex + 1) + ": is not a row");
     }
     List<Set<String>> sets = new ArrayList<>();
-    Set<String> all = new TreeSet<>();
+    Set<String> seenClasses = new TreeSet<>();
     for (int i = 2; i < words.length; i++) {
-      List<String> classes = List.of(words[i].split("\\" + JOINED, -1));
-      for (String one : classes) {
-        if (one.isEmpty() || !all.add(one)) {
-          throw new VariantException("line " + (number + 1) + ": '" + one + "' stands twice");
+      List<String> classes = List.of(words[i].split("\\" + CLASS_SEPARATOR, -1));
+      for (String deviceClass : classes) {
+        if (deviceClass.isEmpty() || !seenClasses.add(deviceClass)) {
+          throw new VariantException(
+              "line " + (lineIndex + 1) + ": '" + deviceClass + "' is empty or named twice");
         }
       }
       sets.add(Set.copyOf(classes));
     }
     if (rows.put(words[1], List.copyOf(sets)) != null) {
-      throw new VariantException("line " + (number + 1) + ": a second row of " + words[1]);
+      throw new VariantException(
+          "line " + (lineIndex + 1) + ": duplicate row of family " + words[1]);
     }
   }
 
-  private static String[] words(String[] lines, int number, String first, int count)
+  private static String[] parseWords(String[] lines, int lineIndex, String keyword, int count)
       throws VariantException {
-    String[] words = lines[number].split(" ");
-    if (words.length != count || !words[0].equals(first)) {
-      throw new VariantException("line " + (number + 1) + ": no " + first);
+    String[] words = lines[lineIndex].split(" ");
+    if (words.length != count || !words[0].equals(keyword)) {
+      throw new VariantException("line " + (lineIndex + 1) + ": expected " + keyword);
     }
     return words;
   }
 
-  private static long number(String[] lines, int line, String word) throws VariantException {
+  private static long parseNumber(String[] lines, int lineIndex, String word)
+      throws VariantException {
     try {
       return Long.parseUnsignedLong(word);
     } catch (NumberFormatException e) {
-      throw new VariantException("line " + (line + 1) + ": '" + word + "' is no number");
+      throw new VariantException("line " + (lineIndex + 1) + ": '" + word + "' is not a number");
     }
   }
 
@@ -140,7 +144,7 @@
   }
 
   /**
-   * Checks the table against rules.
+   * Checks the table against the rules.
    *
    * @throws VariantException that names the row whose family or class the rules lack
    */
@@ -148,40 +152,40 @@
     for (var row : rows.entrySet()) {
       VariantRule rule = rules.rule(row.getKey());
       if (rule == null) {
-        throw new VariantException("row " + row.getKey() + ": there is no rule of this prefix");
+        throw new VariantException("row " + row.getKey() + ": there is no rule with this prefix");
       }
       for (Set<String> set : row.getValue()) {
-        for (String one : set) {
-          if (!rule.classes().contains(one)) {
+        for (String deviceClass : set) {
+          if (!rule.classes().contains(deviceClass)) {
             throw new VariantException(
-                "row " + row.getKey() + ": the rule has no class '" + one + "'");
+                "row " + row.getKey() + ": the rule has no class '" + deviceClass + "'");
           }
         }
       }
     }
   }
 
-  /** The fleet that it is for. */
+  /** Returns the fleet of the table. */
   public String fleet() {
     return fleet;
   }
 
-  /** Which version it is. */
+  /** Returns the version of the table. */
   public VariantVersion version() {
     return version;
   }
 
-  /** By family, the sets of classes that are the same. */
+  /** Returns the sets of equivalent classes, by family. */
   public Map<String, List<Set<String>>> rows() {
     return rows;
   }
 
-  /** The table as text. */
+  /** Returns the table as text. */
   public String text() {
     return text;
   }
 
-  /** SHA-256 of the text, in hexadecimal. */
+  /** Returns the SHA-256 of the text, in hexadecimal. */
   public String digest() {
     return digest;
   }
--- a/src/main/java/beamspread/variants/VariantVersion.java
+++ b/src/main/java/beamspread/variants/VariantVersion.java
@@ -1,13 +1,13 @@
 package beamspread.variants;
 
 /**
- * Which version of a table: that of a later owner is higher whatever its number.
+ * Version of a table. A version of a later owner is higher, whatever its number.
  *
  * @param token the fencing token of the owner's lease
  * @param number counted by that owner, from 1
  */
 public record VariantVersion(long token, long number) implements Comparable<VariantVersion> {
-  /** Below all versions. */
+  /** Lower than any version of a table. */
   public static final VariantVersion NONE = new VariantVersion(0, 0);
 
   @Override
--- a/src/test/java/beamspread/variants/VariantRulesTest.java
+++ b/src/test/java/beamspread/variants/VariantRulesTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Where keys name their class, and what becomes of them. */
+/** Tests where keys name their class and how they are rewritten. */
 class VariantRulesTest {
   private static final List<String> CLASSES = List.of("phone", "tablet", "desktop", "watch");
   private static final VariantVersion FIRST = new VariantVersion(1, 1);
@@ -36,8 +36,8 @@
       same.add(Set.of(set.split("\\+")));
     }
     VariantKeys keys =
-        new VariantKeys(VariantSettings.usual("main"), new VariantRules(List.of(rule)));
-    keys.take(0, VariantTable.of("main", FIRST, Map.of(rule.prefix(), same)), 1_000_000_000);
+        new VariantKeys(VariantSettings.defaults("main"), new VariantRules(List.of(rule)));
+    keys.offer(0, VariantTable.of("main", FIRST, Map.of(rule.prefix(), same)), 1_000_000_000);
     return keys;
   }
 
@@ -55,10 +55,10 @@
     "page/tablets/17,page/tablets/17",
     "pages/tablet/17,pages/tablet/17",
   })
-  void aKeyIsAskedForUnderTheFirstClassOfItsSet(String key, String asked) throws Exception {
+  void rewritesKeyToFirstClassOfItsSet(String key, String expected) throws Exception {
     VariantKeys keys = keys(byField("page/", 0), "tablet+phone", "watch+desktop");
     String canonical = keys.canonical(0, key, "read");
-    assertThat(canonical == null ? key : canonical).isEqualTo(asked);
+    assertThat(canonical == null ? key : canonical).isEqualTo(expected);
     assertThat(keys.canonical(0, key, "other class")).isNull();
   }
 
@@ -71,35 +71,35 @@
     "a/mydevice=tablet,a/mydevice=tablet",
     "a/device,a/device",
   })
-  void theFirstFieldOfTheNameHasTheClass(String key, String asked) throws Exception {
+  void findsClassInFirstFieldWithPrefix(String key, String expected) throws Exception {
     VariantKeys keys = keys(byName("a/", "device="), "tablet+phone");
     String canonical = keys.canonical(0, key, "read");
-    assertThat(canonical == null ? key : canonical).isEqualTo(asked);
+    assertThat(canonical == null ? key : canonical).isEqualTo(expected);
   }
 
   @Test
-  void aKeyThatWouldBeTooLongStaysAndIsCounted() throws Exception {
+  void keepsAndCountsKeyWhoseCanonicalKeyIsTooLong() throws Exception {
     VariantRule rule =
         new VariantRule("p/", '/', 0, null, List.of("longer", "s"), Set.of("read"), true);
     VariantKeys keys = keys(rule, "longer+s");
     String fits = "p/s/" + "x".repeat(241);
     assertThat(fits).hasSize(245);
-    assertThat(asked(keys, fits)).hasSize(250);
-    assertThat(asked(keys, fits + "x")).isEqualTo(fits + "x");
+    assertThat(requestedKey(keys, fits)).hasSize(250);
+    assertThat(requestedKey(keys, fits + "x")).isEqualTo(fits + "x");
     assertThat(keys.counts().tooLong).isEqualTo(1);
   }
 
-  /** What is asked for at a time at which the object is not compared. */
-  private static String asked(VariantKeys keys, String key) {
+  /** Returns the key that is requested while the object is not being compared. */
+  private static String requestedKey(VariantKeys keys, String key) {
     VariantKeys.Rewrite rewrite = keys.rewrite(0, key, "read");
     if (rewrite != null && rewrite.compared()) {
-      throw new AssertionError("the object's turn to be compared comes in the first slot");
+      throw new AssertionError("the object is due to be compared in the first slot");
     }
     return rewrite == null ? key : rewrite.key();
   }
 
   @Test
-  void rulesThatCouldMixObjectsAreRefusedWithBothKeys() {
+  void rejectsRulesThatCouldConfuseObjectsNamingBothKeys() {
     assertThatThrownBy(() -> new VariantRules(List.of(byField("a/phone/", 0), byField("a/", 0))))
         .isInstanceOf(VariantException.class)
         .hasMessageContainingAll(
@@ -115,7 +115,7 @@
   }
 
   @Test
-  void prefixesWithinOneAnotherAreNoTroubleWhereTheClassStandsElsewhere() throws Exception {
+  void acceptsNestedPrefixesThatDoNotContainTheClass() throws Exception {
     VariantRules rules = new VariantRules(List.of(byField("a/", 1), byField("a/b/", 1)));
     assertThat(rules.family("a/x/phone").rule.prefix()).isEqualTo("a/");
     assertThat(rules.family("a/b/x/phone").rule.prefix()).isEqualTo("a/b/");
@@ -129,8 +129,8 @@
   }
 
   @Test
-  void aRuleThatMakesNoSenseNamesItsPart() {
-    for (var wrong :
+  void rejectsInvalidRuleNamingItsPart() {
+    for (var invalidRule :
         Map.<String, Runnable>of(
                 "prefix", () -> byField("a b", 0),
                 "separator", () -> new VariantRule("a", ' ', 0, null, CLASSES, Set.of("r"), true),
@@ -145,44 +145,47 @@
                     () -> new VariantRule("a", '/', 0, null, List.of("x", "x"), Set.of("r"), true),
                 "request", () -> new VariantRule("a", '/', 0, null, CLASSES, Set.of(), true))
             .entrySet()) {
-      assertThatThrownBy(wrong.getValue()::run)
+      assertThatThrownBy(invalidRule.getValue()::run)
           .isInstanceOf(IllegalArgumentException.class)
-          .hasMessageContaining(wrong.getKey());
+          .hasMessageContaining(invalidRule.getKey());
     }
   }
 
-  /** Two keys are asked for as one only if they differ in nothing but the class. */
+  /** Two keys have the same canonical key only if they differ in nothing but the class. */
   @Property(tries = 2000)
   void rewritingIsInjectiveOverObjectsAndIdempotent(
       @ForAll @Size(min = 1, max = 5)
           List<@StringLength(max = 4) @CharRange(from = '!', to = '~') String> fields,
-      @ForAll @IntRange(max = 4) int place,
-      @ForAll @IntRange(max = 3) int one,
-      @ForAll @IntRange(max = 3) int other,
+      @ForAll @IntRange(max = 4) int fieldIndex,
+      @ForAll @IntRange(max = 3) int firstClass,
+      @ForAll @IntRange(max = 3) int secondClass,
       @ForAll boolean named)
       throws Exception {
-    VariantRule rule = named ? byName("q/", "d=") : byField("q/", place);
+    VariantRule rule = named ? byName("q/", "d=") : byField("q/", fieldIndex);
     VariantKeys keys = keys(rule, "phone+tablet+desktop+watch");
-    String first = key(fields, place, named, CLASSES.get(one));
-    String second = key(fields, place, named, CLASSES.get(other));
-    String firstAsked = canonical(keys, first);
-    String secondAsked = canonical(keys, second);
-    VariantRule.Place at = rule.place(first, rule.numbers());
-    if (at == null) {
-      assertThat(firstAsked).isEqualTo(first);
+    String first = key(fields, fieldIndex, named, CLASSES.get(firstClass));
+    String second = key(fields, fieldIndex, named, CLASSES.get(secondClass));
+    String firstCanonical = canonical(keys, first);
+    String secondCanonical = canonical(keys, second);
+    VariantRule.ClassPosition position = rule.findClass(first, rule.classIndexes());
+    if (position == null) {
+      assertThat(firstCanonical).isEqualTo(first);
     } else {
-      assertThat(object(first, at))
-          .isEqualTo(object(firstAsked, rule.place(firstAsked, rule.numbers())));
-      assertThat(firstAsked.equals(secondAsked))
-          .isEqualTo(object(first, at).equals(object(second, rule.place(second, rule.numbers()))));
+      assertThat(object(first, position))
+          .isEqualTo(object(firstCanonical, rule.findClass(firstCanonical, rule.classIndexes())));
+      assertThat(firstCanonical.equals(secondCanonical))
+          .isEqualTo(
+              object(first, position)
+                  .equals(object(second, rule.findClass(second, rule.classIndexes()))));
     }
-    assertThat(canonical(keys, firstAsked)).isEqualTo(firstAsked);
-    assertThat(firstAsked.chars()).allMatch(letter -> letter > ' ' && letter < 0x7F);
+    assertThat(canonical(keys, firstCanonical)).isEqualTo(firstCanonical);
+    assertThat(firstCanonical.chars()).allMatch(letter -> letter > ' ' && letter < 0x7F);
   }
 
-  private static String key(List<String> fields, int place, boolean named, String deviceClass) {
+  private static String key(
+      List<String> fields, int fieldIndex, boolean named, String deviceClass) {
     List<String> all = new ArrayList<>(fields);
-    all.add(Math.min(place, all.size()), (named ? "d=" : "") + deviceClass);
+    all.add(Math.min(fieldIndex, all.size()), (named ? "d=" : "") + deviceClass);
     return "q/" + String.join("/", all);
   }
 
@@ -191,7 +194,9 @@
     return canonical == null ? key : canonical;
   }
 
-  private static String object(String key, VariantRule.Place place) {
-    return place == null ? key : key.substring(0, place.start()) + " " + key.substring(place.end());
+  private static String object(String key, VariantRule.ClassPosition position) {
+    return position == null
+        ? key
+        : key.substring(0, position.start()) + " " + key.substring(position.end());
   }
 }
