--- a/src/main/java/beamspread/tier/TierSettings.java
+++ b/src/main/java/beamspread/tier/TierSettings.java
@@ -39,7 +39,9 @@
     check(doubtNanos >= 0, "doubt must not be negative");
     check(rememberNanos >= silenceNanos, "remember must be at least as long as silence");
     check(bytesPerSecond >= 500, "bytes must be at least 500 per second");
-    check(burstBytes >= 4 * Datagram.MAX_BYTES, "burst must be at least " + 4 * Datagram.MAX_BYTES);
+    check(
+        burstBytes >= 4 * Datagram.MAX_BYTES,
+        "burst must be " + 4 * Datagram.MAX_BYTES + " bytes or more");
   }
 
   private static void check(boolean valid, String problem) {
