--- a/src/main/java/beamspread/lab/Decider.java
+++ b/src/main/java/beamspread/lab/Decider.java
@@ -31,22 +31,22 @@
     return new Decider() {
       @Override
       public void membership(double now, MembershipUpdate update) {
-        balancer.membership(now, update);
+        balancer.onMembershipUpdate(now, update);
       }
 
       @Override
       public void request(double now, Request request) {
-        balancer.request(now, request);
+        balancer.onRequest(now, request);
       }
 
       @Override
       public void outcome(double now, Outcome outcome) {
-        balancer.outcome(now, outcome);
+        balancer.onOutcome(now, outcome);
       }
 
       @Override
       public void timer(double now, long token) {
-        balancer.timer(now, token);
+        balancer.onTimer(now, token);
       }
     };
   }
--- a/src/main/java/beamspread/lab/PlainDecider.java
+++ b/src/main/java/beamspread/lab/PlainDecider.java
@@ -130,7 +130,7 @@
   private int cap(ServerEntry server) {
     double mean = (allInFlight + 1) * server.weight() / totalWeight;
     return (int)
-        Math.max(settings.floorPart(), Math.ceil((1 + settings.spread().epsilon()) * mean));
+        Math.max(settings.capFloorPart(), Math.ceil((1 + settings.spread().epsilon()) * mean));
   }
 
   @Override
@@ -141,7 +141,7 @@
     if (one == null) {
       return;
     }
-    boolean answered = outcome.ended() || outcome.result() == Outcome.Result.OK;
+    boolean answered = outcome.requestEnded() || outcome.result() == Outcome.Result.OK;
     boolean harmless =
         outcome.result().provesNotRun()
             || effects.get(one.request.serviceClass()) == Settings.Effect.SAFE;
--- a/src/main/java/beamspread/node/variants/VariantStatus.java
+++ b/src/main/java/beamspread/node/variants/VariantStatus.java
@@ -5,11 +5,15 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
 
-/** What a node tells of variant keys, as a field of its status. */
+/** Writes the state of variant keys as a field of the node's status. */
 public final class VariantStatus {
   private VariantStatus() {}
 
-  /** Writes the field {@code variants}; nothing where the node takes no part in them. */
+  /**
+   * Writes the field {@code variants}.
+   *
+   * @param keys the variant keys; null if the node does not use them, and nothing is written
+   */
   public static void write(JsonGenerator json, VariantKeys keys) throws IOException {
     if (keys == null) {
       return;
@@ -17,8 +21,8 @@
     long now = System.nanoTime();
     VariantCounts counts = keys.counts();
     json.writeObjectFieldStart("variants");
-    json.writeStringField("version", keys.held().highest().toString());
-    json.writeNumberField("holds_ms", keys.held().leftNanos(now) / 1_000_000);
+    json.writeStringField("version", keys.held().highestVersion().toString());
+    json.writeNumberField("holds_ms", keys.held().remainingNanos(now) / 1_000_000);
     json.writeArrayFieldStart("split");
     for (String family : keys.split(now)) {
       json.writeString(family);
--- a/src/main/java/beamspread/replay/NodeText.java
+++ b/src/main/java/beamspread/replay/NodeText.java
@@ -61,17 +61,17 @@
   static String pool(Fleet fleet) {
     PoolSettings pool = fleet.poolSettings();
     Map<String, Object> all = new LinkedHashMap<>();
-    all.put("connections", pool.connections());
-    all.put("leaving", pool.leaving());
-    all.put("streaming", pool.streaming());
-    all.put("depth", pool.depth());
-    all.put("opening_each", pool.openingEach());
-    all.put("opening_all", pool.openingAll());
-    all.put("spare", pool.spare());
-    all.put("idle_s", pool.idleNanos() / 1e9);
-    all.put("age_s", pool.ageNanos() / 1e9);
-    all.put("suspect_s", pool.suspectNanos() / 1e9);
-    all.put("cold_s", pool.coldNanos() / 1e9);
+    all.put("connections", pool.connectionsPerServer());
+    all.put("leaving", pool.extraWhileRetiring());
+    all.put("streaming", pool.extraWhileStreaming());
+    all.put("depth", pool.multiplexingDepth());
+    all.put("opening_each", pool.openingPerServer());
+    all.put("opening_all", pool.openingTotal());
+    all.put("spare", pool.spareConnections());
+    all.put("idle_s", pool.idleTimeoutNanos() / 1e9);
+    all.put("age_s", pool.maxAgeNanos() / 1e9);
+    all.put("suspect_s", pool.suspectAfterNanos() / 1e9);
+    all.put("cold_s", pool.coldPeriodNanos() / 1e9);
     return Json.text(all);
   }
 
@@ -82,14 +82,14 @@
     all.put("azs", settings.zones());
     all.put("kinds", settings.kinds());
     all.put("instances", settings.instances());
-    all.put("my-number", settings.number());
-    all.put("discovery", settings.asksForList() ? "ask" : "push");
+    all.put("my-number", settings.instanceNumber());
+    all.put("discovery", settings.callsForList() ? "ask" : "push");
     all.put(
         "weight-kind",
         settings.weights() == Settings.Weights.NONE
             ? "silent"
             : settings.weights().name().toLowerCase(Locale.ROOT));
-    all.put("period", settings.tick());
+    all.put("period", settings.tickSeconds());
     all.put("over-share-worth", settings.overShareWorth());
     Settings.Limits limits = settings.limits();
     Map<String, Object> caps = new LinkedHashMap<>();
@@ -97,18 +97,18 @@
     caps.put("parallel-tries", limits.parallelAttempts());
     caps.put("cancel", limits.mayCancel());
     caps.put("probing", limits.mayProbe());
-    caps.put("may-tell", limits.mayTell());
-    caps.put("retry-after", limits.advisesRetry());
+    caps.put("may-tell", limits.mayMessagePeers());
+    caps.put("retry-after", limits.advisesRetryAfter());
     caps.put("max-retry-after", limits.maxRetryAfter());
     caps.put("connect-timeout", limits.connectTimeout());
     caps.put("conn-idle", limits.idleTimeout());
-    caps.put("multiplex", limits.perConnection());
+    caps.put("multiplex", limits.attemptsPerConnection());
     caps.put("open-cap", limits.maxOpen());
     all.put("caps", caps);
     Settings.Contract contract = settings.contract();
     Map<String, Object> promises = new LinkedHashMap<>();
     promises.put("grace-to-answer", contract.answerGrace());
-    promises.put("ask-within", contract.askWithin());
+    promises.put("ask-within", contract.callWithin());
     promises.put("drain-grace", contract.drainGrace());
     promises.put("cold-from", contract.coldFrom());
     promises.put("warm-within", contract.warmWithin());
--- a/src/test/java/beamspread/node/OtherCustomersTest.java
+++ b/src/test/java/beamspread/node/DeploymentSitesTest.java
@@ -25,10 +25,10 @@
 import org.tomlj.TomlTable;
 
 /**
- * The customers of {@code deploy/sites}: a node with the settings of each serves all its classes.
+ * Deployments under {@code deploy/sites}: a node with the settings of each serves all its classes.
  */
 @ExtendWith(LeakCheck.class)
-class OtherCustomersTest {
+class DeploymentSitesTest {
   private static final Path SITES = Path.of("deploy", "sites");
 
   static List<Path> sites() throws IOException {
@@ -54,7 +54,7 @@
     };
   }
 
-  /** What the bench would tell a node of this site. */
+  /** Returns the configuration that the bench would write for a node of this site. */
   private static String config(TomlParseResult site, Peers.Server discovery, Peers.Server server) {
     TomlTable allow = site.getTable("allow");
     TomlTable connections = site.getArray("tier").getTable(0).getTable("conn");
@@ -71,7 +71,7 @@
           out.writeNumberField("sockets", 512);
           out.writeEndObject();
           out.writeFieldName("known");
-          out.writeRawValue(Peers.list(1, server));
+          out.writeRawValue(Peers.listJson(1, server));
           out.writeObjectFieldStart("settings");
           out.writeStringField("zone", zones.getString(0));
           out.writeArrayFieldStart("azs");
@@ -121,7 +121,7 @@
   private static Node node(TomlParseResult site, Peers.Server discovery, Peers.Server server)
       throws Exception {
     NodeConfig config = NodeConfig.parse(Message.parse(config(site, discovery, server)));
-    return new Node(config, ClientConnections.Limits.usual(64), Transport.TCP);
+    return new Node(config, ClientConnections.Limits.defaults(64), Transport.TCP);
   }
 
   private static String request(TomlTable type, String id) {
@@ -134,33 +134,33 @@
 
   @ParameterizedTest
   @MethodSource("sites")
-  void everyClassIsServedAndThoseOfOthersAreNot(Path file) throws Exception {
+  void servesOnlyItsOwnClasses(Path file) throws Exception {
     TomlParseResult site = Toml.parse(file);
     assertFalse(site.hasErrors(), () -> site.errors().toString());
-    try (Peers.Server server = new Peers.Server(Peers::good);
+    try (Peers.Server server = new Peers.Server(Peers::successReply);
         Peers.Server discovery = new Peers.Server(line -> null);
         Node node = node(site, discovery, server);
         Peers.Client client = new Peers.Client((InetSocketAddress) node.start())) {
       int number = 0;
       for (TomlTable type : classes(site)) {
         String id = "i" + ++number;
-        String answer = client.send(request(type, id)).line();
+        String answer = client.send(request(type, id)).readLine();
         boolean write = Boolean.TRUE.equals(type.getBoolean("write"));
         assertEquals(write ? "HD O" + id + " c77" : "VA 5 O" + id, answer, type.getString("name"));
         if (!write) {
-          client.line();
+          client.readLine();
         }
       }
       assertEquals(number, server.lines.size());
       String other = "mg key v Oz Pc=read,d=400\r\n";
-      assertEquals("CLIENT_ERROR unknown or missing class", client.send(other).line());
+      assertEquals("CLIENT_ERROR unknown or missing class", client.send(other).readLine());
     }
   }
 
-  /** A server that answers nothing: each class has its answer at its own deadline. */
+  /** With a server that never answers, each class is answered by its own deadline. */
   @ParameterizedTest
   @MethodSource("sites")
-  void everyClassIsAnsweredByItsDeadline(Path file) throws Exception {
+  void answersEveryClassByItsDeadline(Path file) throws Exception {
     TomlParseResult site = Toml.parse(file);
     List<Peers.Client> clients = new ArrayList<>();
     try (Peers.Server server = new Peers.Server(line -> null);
@@ -171,11 +171,11 @@
         clients.add(new Peers.Client(address).send(request(type, "i" + clients.size())));
       }
       for (Peers.Client client : clients) {
-        String answer = client.line();
+        String answer = client.readLine();
         assertTrue(answer != null && answer.startsWith("SERVER_ERROR "), answer);
       }
-      Peers.await("nothing is open", () -> node.openRequests() == 0);
-      // Where nothing may be sent twice, each has gone out once at most.
+      Peers.await("no request is open", () -> node.openRequests() == 0);
+      // A request is sent at most as often as the site allows attempts.
       for (TomlTable type : classes(site)) {
         String parameters = "Pc=" + type.getString("name") + ",";
         long sent = server.lines.stream().filter(line -> line.contains(parameters)).count();
@@ -183,13 +183,13 @@
       }
     } finally {
       for (Peers.Client client : clients) {
-        client.leave();
+        client.disconnect();
       }
     }
   }
 
   @Test
-  void thereAreTwoThatDiffer() throws IOException {
+  void sitesDifferInDiscoveryMode() throws IOException {
     List<Path> sites = sites();
     assertEquals(2, sites.size());
     List<String> modes = new ArrayList<>();
--- a/src/test/java/beamspread/node/Peers.java
+++ b/src/test/java/beamspread/node/Peers.java
@@ -30,27 +30,27 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Function;
 
-/** Stand-ins, on loopback sockets, for what a node talks to. */
+/** Stand-ins for the peers of a node, on loopback sockets. */
 final class Peers {
-  private static final int PATIENCE_MILLIS = 20_000;
+  private static final int TIMEOUT_MILLIS = 20_000;
 
-  /** The head of a watch's answer. */
-  static final String WATCH = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+  /** The head of the response to a watch. */
+  static final String WATCH_RESPONSE_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
   private Peers() {}
 
-  /** Waits for a condition, for far longer than it needs. */
-  static void await(String what, BooleanSupplier condition) throws InterruptedException {
-    long until = System.nanoTime() + PATIENCE_MILLIS * 1_000_000L;
+  /** Waits for a condition, for far longer than it should take. */
+  static void await(String description, BooleanSupplier condition) throws InterruptedException {
+    long deadline = System.nanoTime() + TIMEOUT_MILLIS * 1_000_000L;
     while (!condition.getAsBoolean()) {
-      if (System.nanoTime() - until > 0) {
-        throw new AssertionError("not within " + PATIENCE_MILLIS + " ms: " + what);
+      if (System.nanoTime() - deadline > 0) {
+        throw new AssertionError("not within " + TIMEOUT_MILLIS + " ms: " + description);
       }
       Thread.sleep(5);
     }
   }
 
-  static String flag(String command, char flag) {
+  static String flagValue(String command, char flag) {
     for (String word : command.split(" ")) {
       if (word.charAt(0) == flag && !word.equals(command.split(" ")[1])) {
         return word.substring(1);
@@ -59,11 +59,11 @@
     return "";
   }
 
-  /** The answer that a cache server gives. */
-  static String good(String command) {
+  /** Returns the reply of a healthy cache server to a command. */
+  static String successReply(String command) {
     return command.startsWith("mg")
-        ? "VA 5 O" + flag(command, 'O') + " h1\r\nhello\r\n"
-        : "HD O" + flag(command, 'O') + " c77\r\n";
+        ? "VA 5 O" + flagValue(command, 'O') + " h1\r\nhello\r\n"
+        : "HD O" + flagValue(command, 'O') + " c77\r\n";
   }
 
   private static String line(InputStream in) throws IOException {
@@ -77,22 +77,22 @@
     return null;
   }
 
-  /** Listens, and answers each line of a connection by a function; null answers nothing. */
+  /** A server that answers each received line by a function; null sends no answer. */
   static class Server implements AutoCloseable {
     final List<String> lines = new CopyOnWriteArrayList<>();
     final List<Socket> connections = new CopyOnWriteArrayList<>();
 
-    /** Where each line came from. */
-    private final List<Source> sources = new CopyOnWriteArrayList<>();
+    /** The connection of each received line, by the line's index. */
+    private final List<LineSource> sources = new CopyOnWriteArrayList<>();
 
     volatile Function<String, String> script;
     private volatile ServerSocket listener;
 
     /**
-     * A connection, and what is held while something is written on it. That is not the socket
-     * itself: its close waits for its monitor, and so would wait for a peer that does not read.
+     * A connection with the lock for writing to it. The lock is not the socket itself: close waits
+     * for the socket's monitor, and so would wait for a peer that does not read.
      */
-    private record Source(Socket socket, Object writing) {
+    private record LineSource(Socket socket, Object writeLock) {
       void write(String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
         socket.getOutputStream().flush();
@@ -107,65 +107,65 @@
     private void listen(int port) throws IOException {
       ServerSocket opened = new ServerSocket(port, 512, InetAddress.getByName("127.0.0.1"));
       listener = opened;
-      daemon(
+      startDaemon(
           () -> {
             while (!opened.isClosed()) {
               Socket socket = opened.accept();
               connections.add(socket);
-              daemon(() -> serve(socket));
+              startDaemon(() -> serve(socket));
             }
           });
     }
 
-    /** Sends text on the connection on which this line came, which must be the only such line. */
+    /** Sends text on the connection that this line came from; the line must be unique. */
     void send(String line, String text) throws IOException {
       send(lines.indexOf(line), text);
     }
 
-    /** Sends text on the connection on which the line of this number came. */
+    /** Sends text on the connection that the line of this index came from. */
     void send(int line, String text) throws IOException {
-      Source to = sources.get(line);
-      synchronized (to.writing) {
+      LineSource to = sources.get(line);
+      synchronized (to.writeLock) {
         to.write(text);
       }
     }
 
-    /** Ends the connection on which this line came, which must be the only such line. */
-    void breakOne(String line) throws IOException {
+    /** Closes the connection that this line came from; the line must be unique. */
+    void closeConnectionOf(String line) throws IOException {
       sources.get(lines.indexOf(line)).socket.close();
     }
 
-    /** Ends the connection on which the line of this number came, in order or with a reset. */
-    void end(int line, boolean reset) throws IOException {
+    /** Closes the connection that the line of this index came from, normally or with a reset. */
+    void closeConnectionOf(int line, boolean reset) throws IOException {
       if (reset) {
         sources.get(line).socket.setSoLinger(true, 0);
       }
       sources.get(line).socket.close();
     }
 
-    /** Refuses new connections and keeps those it has. */
-    void refuse() throws IOException {
+    /** Refuses new connections and keeps the existing ones. */
+    void stopListening() throws IOException {
       SocketAddress address = listener.getLocalSocketAddress();
       listener.close();
-      // The close takes effect only once the thread that accepts has seen it.
+      // The close takes effect only when the accepting thread notices it.
       for (boolean refused = false; !refused; ) {
         try (Socket probe = new Socket()) {
-          probe.connect(address, PATIENCE_MILLIS);
+          probe.connect(address, TIMEOUT_MILLIS);
         } catch (ConnectException e) {
           refused = true;
         } catch (SocketException e) {
-          // Reset: it was still in the queue of what is to be accepted. The next one tells.
+          // Reset: the probe was still in the accept queue, so probe again.
         }
       }
     }
 
-    /** Takes new connections again, at the same address. */
-    void listenAgain() throws IOException {
+    /** Accepts new connections again, at the same address. */
+    void resumeListening() throws IOException {
       listen(listener.getLocalPort());
     }
 
-    /** Ends all connections, also those with a command under way. */
-    void breakConnections() {
+    /** Closes all connections, also those with a command in progress. */
+    void closeConnections() {
       for (Socket socket : connections) {
         try {
           socket.close();
@@ -175,18 +175,18 @@
       }
     }
 
-    private interface Step {
+    private interface IoAction {
       void run() throws IOException;
     }
 
-    private static void daemon(Step step) {
+    private static void startDaemon(IoAction step) {
       Thread thread =
           new Thread(
               () -> {
                 try {
                   step.run();
                 } catch (IOException e) {
-                  // The other end, or the test, has closed the socket.
+                  // The peer or the test has closed the socket.
                 }
               });
       thread.setDaemon(true);
@@ -194,15 +194,16 @@
     }
 
     private void serve(Socket socket) throws IOException {
-      Source source = new Source(socket, new Object());
+      LineSource source = new LineSource(socket, new Object());
       try (socket) {
         InputStream in = new BufferedInputStream(socket.getInputStream());
         for (String line = line(in); line != null; line = line(in)) {
           if (line.startsWith("ms ")) {
             in.readNBytes(Integer.parseInt(line.split(" ")[2]) + 2);
           }
-          // Whoever sees the line and sends on its connection comes behind the script's answer.
-          synchronized (source.writing) {
+          // A test that sees the line and sends on its connection must write after the script's
+          // answer.
+          synchronized (source.writeLock) {
             synchronized (this) {
               sources.add(source);
               lines.add(line);
@@ -231,14 +232,14 @@
     }
   }
 
-  /** A discovery that answers every watch with the same list and keeps it open. */
+  /** Returns a discovery server that answers every watch with the same list and keeps it open. */
   static Server discovery(int version, Server... servers) throws IOException {
-    String json = list(version, servers) + "\n";
-    String answer = WATCH + chunk(json);
+    String json = listJson(version, servers) + "\n";
+    String answer = WATCH_RESPONSE_HEAD + chunk(json);
     return new Server(line -> line.startsWith("GET ") ? answer : null);
   }
 
-  static String list(int version, Server... servers) {
+  static String listJson(int version, Server... servers) {
     List<String> lines = new ArrayList<>();
     for (Server server : servers) {
       lines.add(
@@ -253,21 +254,21 @@
   static final class Client implements AutoCloseable {
     private final Socket socket = new Socket();
     private final InputStream in;
-    private final int node;
-    private final int local;
+    private final int nodePort;
+    private final int localPort;
 
     Client(InetSocketAddress node) throws IOException {
       this(node, 1 << 16);
     }
 
-    /** One whose socket takes little before it is read. */
+    /** Connects with a small receive buffer, so that little is received before it is read. */
     Client(InetSocketAddress node, int receiveBuffer) throws IOException {
       socket.setReceiveBufferSize(receiveBuffer);
-      socket.connect(node, PATIENCE_MILLIS);
-      socket.setSoTimeout(PATIENCE_MILLIS);
+      socket.connect(node, TIMEOUT_MILLIS);
+      socket.setSoTimeout(TIMEOUT_MILLIS);
       in = new BufferedInputStream(socket.getInputStream());
-      this.node = node.getPort();
-      this.local = socket.getLocalPort();
+      this.nodePort = node.getPort();
+      this.localPort = socket.getLocalPort();
     }
 
     Client send(String text) throws IOException {
@@ -285,8 +286,8 @@
       return send("ms key-" + id + " 5 O" + id + " Pc=put,d=5000\r\nworld\r\n");
     }
 
-    /** The next line; null at the connection's end, also where it was reset. */
-    String line() throws IOException {
+    /** Returns the next line; null at the end of the connection, also after a reset. */
+    String readLine() throws IOException {
       try {
         return Peers.line(in);
       } catch (SocketTimeoutException e) {
@@ -296,8 +297,8 @@
       }
     }
 
-    /** The next bytes; fewer at the connection's end, also where it was reset. */
-    byte[] bytes(int count) throws IOException {
+    /** Returns the next bytes; fewer at the end of the connection, also after a reset. */
+    byte[] readBytes(int count) throws IOException {
       byte[] bytes = new byte[count];
       int read = 0;
       try {
@@ -307,21 +308,24 @@
       } catch (SocketTimeoutException e) {
         throw new AssertionError("no answer", e);
       } catch (SocketException e) {
-        // Reset: what came before it counts.
+        // Reset: the bytes received before it count.
       }
       return Arrays.copyOf(bytes, read);
     }
 
-    /** Waits until the node's machine has seen this end's close, whether or not the node has. */
-    void awaitEnded() throws InterruptedException {
-      String from = ":%04X ".formatted(node);
-      String to = ":%04X ".formatted(local);
+    /**
+     * Waits until the kernel on the node's side has received the close, whether or not the node has
+     * read it.
+     */
+    void awaitCloseReceived() throws InterruptedException {
+      String from = ":%04X ".formatted(nodePort);
+      String to = ":%04X ".formatted(localPort);
       await(
-          "the close has arrived",
+          "the close is received",
           () ->
               tcpLines().stream()
                   .filter(line -> line.contains(from) && line.contains(to))
-                  // 08 is CLOSE_WAIT; one that was reset is no longer there.
+                  // State 08 is CLOSE_WAIT; a connection that was reset is no longer in the table.
                   .allMatch(
                       line -> line.indexOf(from) > line.indexOf(to) || line.contains(" 08 ")));
     }
@@ -340,12 +344,12 @@
       return lines;
     }
 
-    /** Goes away. */
-    void leave() throws IOException {
+    /** Closes the connection. */
+    void disconnect() throws IOException {
       socket.close();
     }
 
-    /** Ends the connection with a reset. */
+    /** Closes the connection with a reset. */
     void reset() throws IOException {
       socket.setSoLinger(true, 0);
       socket.close();
@@ -357,7 +361,7 @@
     }
   }
 
-  /** One chunk of a watch's answer. */
+  /** Formats one chunk of the response to a watch. */
   static String chunk(String text) {
     return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
   }
@@ -390,7 +394,7 @@
         List.of(),
         1,
         0.005,
-        Settings.Spread.USUAL);
+        Settings.Spread.DEFAULT);
   }
 
   static Settings.ServiceClass service(String name, Settings.Effect effect) {
@@ -403,7 +407,7 @@
         name, aim, 0, deadline, 1, 0.2, effect, Settings.Group.ALL, 1, false);
   }
 
-  static PoolSettings pool(Settings settings, int sockets) {
+  static PoolSettings poolSettings(Settings settings, int sockets) {
     try {
       return PoolPlan.of(settings, sockets, null);
     } catch (WireException e) {
@@ -411,8 +415,8 @@
     }
   }
 
-  /** A node that knows no server yet and is not started. */
-  static Node node(Settings settings, Server discovery) {
+  /** Returns a node with an empty list of servers that is not started. */
+  static Node unstartedNode(Settings settings, Server discovery) {
     return new Node(
         new NodeConfig(
             new InetSocketAddress("127.0.0.1", 0),
@@ -423,18 +427,18 @@
             new MemberList(true, 1, List.of()),
             settings,
             null,
-            pool(settings, 256),
+            poolSettings(settings, 256),
             "rig",
             false,
             null,
             null,
             null,
             null),
-        ClientConnections.Limits.usual(16),
+        ClientConnections.Limits.defaults(16),
         Transport.TCP);
   }
 
-  /** A node whose list names these servers and whose discovery says nothing else. */
+  /** A running node whose list names the given servers and whose discovery reports nothing else. */
   static final class Rig implements AutoCloseable {
     private static final Settings SETTINGS =
         settings(new Settings.Limits(6, true, true, false, false, false, 1, 2, 60, 32, 20000));
@@ -459,11 +463,11 @@
           discovery,
           limits,
           sockets,
-          pool(SETTINGS, sockets),
+          poolSettings(SETTINGS, sockets),
           Arrays.stream(servers).map(Server::address).toList());
     }
 
-    /** A node with bounds of its own on large values. */
+    /** Starts a node with the given bounds on large values. */
     Rig(ClientConnections.Limits limits, RelaySettings relayed, Server... servers)
         throws IOException, InterruptedException {
       this(
@@ -472,13 +476,13 @@
           new Server(line -> null),
           limits,
           256,
-          pool(SETTINGS, 256),
+          poolSettings(SETTINGS, 256),
           Arrays.stream(servers).map(Server::address).toList(),
           relayed,
           SETTINGS);
     }
 
-    /** A node before servers at these addresses, with bounds of its own on the connections. */
+    /** Starts a node with servers at these addresses and the given bounds on its connections. */
     Rig(ClientConnections.Limits limits, PoolSettings pool, List<InetSocketAddress> servers)
         throws IOException, InterruptedException {
       this(new Server(line -> null), limits, 256, pool, servers);
@@ -494,7 +498,9 @@
       this(new InetSocketAddress("127.0.0.1", 0), null, discovery, limits, sockets, pool, servers);
     }
 
-    /** A node that operators can call, at the address of another process of it or at port 0. */
+    /**
+     * Starts a node that operators can call, at the address of another process of it or at port 0.
+     */
     Rig(
         InetSocketAddress listen,
         NodeConfig.Management management,
@@ -505,9 +511,9 @@
           listen,
           management,
           discovery,
-          ClientConnections.Limits.usual(50),
+          ClientConnections.Limits.defaults(50),
           256,
-          pool(SETTINGS, 256),
+          poolSettings(SETTINGS, 256),
           Arrays.stream(servers).map(Server::address).toList());
     }
 
@@ -528,24 +534,22 @@
           sockets,
           pool,
           servers,
-          RelaySettings.usual(1 << 22),
+          RelaySettings.defaults(1 << 22),
           SETTINGS);
     }
 
-    /**
-     * A node with settings and bounds on its connections of its own, and a discovery that speaks.
-     */
+    /** Starts a node with the given settings, bounds on its connections, and discovery. */
     Rig(Settings settings, PoolSettings pool, Server discovery, Server... servers)
         throws IOException, InterruptedException {
       this(
           new InetSocketAddress("127.0.0.1", 0),
           null,
           discovery,
-          ClientConnections.Limits.usual(50),
+          ClientConnections.Limits.defaults(50),
           256,
           pool,
           Arrays.stream(servers).map(Server::address).toList(),
-          RelaySettings.usual(1 << 22),
+          RelaySettings.defaults(1 << 22),
           settings);
     }
 
@@ -563,7 +567,7 @@
       this.discovery = discovery;
       List<MemberList.Member> members = new ArrayList<>();
       for (InetSocketAddress server : servers) {
-        long id = MemberList.number("s-" + server.getPort());
+        long id = MemberList.serverNumber("s-" + server.getPort());
         members.add(
             new MemberList.Member(
                 new ServerEntry(id, "a", "box", 0, ServerEntry.State.READY, 1, 0), server));
--- a/src/test/java/beamspread/node/ServeProcess.java
+++ b/src/test/java/beamspread/node/ServeProcess.java
@@ -14,14 +14,14 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A node as its own process: its configuration, its start, and what it tells of itself. */
+/** A node in a separate process: its configuration, start, status and log. */
 final class ServeProcess {
   final Path config;
   final Path log;
   private final Path folder;
   private final Path status;
 
-  /** Files of this name in a folder of the test's. */
+  /** Uses files of this name in the folder of a test. */
   ServeProcess(Path folder, String name) {
     this.folder = folder;
     config = folder.resolve(name + ".json");
@@ -32,17 +32,20 @@
   /**
    * Writes its configuration.
    *
-   * @param more further fields, each with a comma behind it
+   * @param extraFields further fields, each followed by a comma
    */
-  void configure(String listen, String more, Peers.Server discovery, Peers.Server... servers)
+  void configure(String listen, String extraFields, Peers.Server discovery, Peers.Server... servers)
       throws IOException {
-    configure(listen, more, discovery.address(), 1, servers);
+    configure(listen, extraFields, discovery.address(), 1, servers);
   }
 
-  /** The same before a discovery at this address, in a fleet of so many nodes. */
+  /**
+   * Writes its configuration with a discovery at this address, in a fleet of the given number of
+   * nodes.
+   */
   void configure(
       String listen,
-      String more,
+      String extraFields,
       InetSocketAddress discovery,
       int instances,
       Peers.Server... servers)
@@ -62,36 +65,42 @@
            {"name":"put","slo":1,"give-up":2,"effect":"fragile"}]}}
         """
             .formatted(
-                listen, discovery.getPort(), status, more, Peers.list(40, servers), instances));
+                listen,
+                discovery.getPort(),
+                status,
+                extraFields,
+                Peers.listJson(40, servers),
+                instances));
   }
 
   Process launch() throws IOException {
     return launch(List.of(), List.of());
   }
 
-  /** One whose virtual machine is given these words. */
-  Process launch(List<String> machine) throws IOException {
-    return launch(List.of(), machine);
+  /** Starts it with these options for the JVM. */
+  Process launch(List<String> jvmOptions) throws IOException {
+    return launch(List.of(), jvmOptions);
   }
 
-  /** One that may hold no more descriptors than its configuration says. */
-  Process launchWithin(int descriptors) throws IOException {
+  /** Starts it with this limit on file descriptors. */
+  Process launchWithDescriptorLimit(int descriptors) throws IOException {
     List<String> limited =
         List.of("sh", "-c", "ulimit -n " + descriptors + " && exec \"$@\"", "sh");
     return launch(limited, List.of());
   }
 
-  /** One that inherits that SIGHUP is ignored, as nohup has it. */
-  Process launchIgnoringHangup() throws IOException {
+  /** Starts it so that it inherits that SIGHUP is ignored, as under nohup. */
+  Process launchIgnoringSighup() throws IOException {
     return launch(List.of("sh", "-c", "trap '' HUP; exec \"$@\"", "sh"), List.of());
   }
 
-  private Process launch(List<String> through, List<String> machine) throws IOException {
-    List<String> words = new ArrayList<>(through);
-    words.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-    words.addAll(machine);
-    words.addAll(List.of("-cp", System.getProperty("java.class.path"), "beamspread.Main", "serve"));
-    ProcessBuilder builder = new ProcessBuilder(words);
+  private Process launch(List<String> prefix, List<String> jvmOptions) throws IOException {
+    List<String> command = new ArrayList<>(prefix);
+    command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
+    command.addAll(jvmOptions);
+    command.addAll(
+        List.of("-cp", System.getProperty("java.class.path"), "beamspread.Main", "serve"));
+    ProcessBuilder builder = new ProcessBuilder(command);
     builder.environment().put("ROUTER_CONFIG", config.toString());
     builder.environment().put("TMPDIR", folder.toString());
     return builder.redirectErrorStream(true).redirectOutput(log.toFile()).start();
@@ -105,7 +114,7 @@
     }
   }
 
-  /** Ends it in order. */
+  /** Sends it SIGTERM. */
   static void terminate(Process process) throws IOException, InterruptedException {
     new ProcessBuilder("kill", "-TERM", Long.toString(process.pid())).start().waitFor();
   }
--- a/src/test/java/beamspread/policy/PolicySizeTest.java
+++ b/src/test/java/beamspread/policy/PolicySizeTest.java
@@ -10,16 +10,18 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** Each file of the decision module stays small enough to read, and the deploy file names all. */
+/**
+ * Limits the size of each file of the policy package; checks that deploy/balancer.toml lists it.
+ */
 class PolicySizeTest {
-  /** Lines with text that one file may have. */
+  /** Maximum number of non-blank lines in a file. */
   private static final int FILE_LIMIT = 530;
 
   @Test
-  void eachFileStaysWithinItsLimitAndIsNamed() throws IOException {
+  void eachFileIsWithinLimitAndListedForDeploy() throws IOException {
     Path folder = Path.of("src/main/java/beamspread/policy");
-    String deploy = Files.readString(Path.of("deploy/balancer.toml"));
-    TreeSet<String> named = new TreeSet<>();
+    String deployConfig = Files.readString(Path.of("deploy/balancer.toml"));
+    TreeSet<String> listed = new TreeSet<>();
     TreeSet<String> present = new TreeSet<>();
     List<Path> files;
     try (var list = Files.list(folder)) {
@@ -27,12 +29,12 @@
     }
     for (Path file : files) {
       present.add(file.getFileName().toString());
-      if (deploy.contains("\"" + file.toString().replace('\\', '/') + "\"")) {
-        named.add(file.getFileName().toString());
+      if (deployConfig.contains("\"" + file.toString().replace('\\', '/') + "\"")) {
+        listed.add(file.getFileName().toString());
       }
       long lines = Files.readAllLines(file).stream().filter(line -> !line.isBlank()).count();
       assertTrue(lines <= FILE_LIMIT, file + ": " + lines + " lines");
     }
-    assertEquals(present, named);
+    assertEquals(present, listed);
   }
 }
