--- a/src/main/java/beamspread/replay/NodeText.java
+++ b/src/main/java/beamspread/replay/NodeText.java
@@ -75,7 +75,7 @@
     return Json.text(all);
   }
 
-  /** The words for settings that {@code sim.Dialect} reads back. */
+  /** The words for settings that {@code sim.MessageConverter} reads back. */
   static Map<String, Object> settings(Settings settings) {
     Map<String, Object> all = new LinkedHashMap<>();
     all.put("zone", settings.zone());
