--- a/src/test/java/beamspread/node/Peers.java
+++ b/src/test/java/beamspread/node/Peers.java
@@ -94,7 +94,8 @@
      */
     private record LineSource(Socket socket, Object writeLock) {
       void write(String text) throws IOException {
-        // Taken once: after a whole answer the peer may end the connection, which closes the socket.
+        // Taken once: after a whole answer the peer may end the connection, which closes the
+        // socket.
         OutputStream out = socket.getOutputStream();
         out.write(text.getBytes(StandardCharsets.ISO_8859_1));
         out.flush();
